--- a/src/main/java/dewstage/CallPatience.java
+++ b/src/main/java/dewstage/CallTiming.java
@@ -9,7 +9,7 @@
  * call waits far longer than any queue that is known, unless discovery is known to refuse calls that waited
  * for long: then one that is not refused in that time is lost.
  */
-public final class CallPatience {
+public final class CallTiming {
     /** With nothing known: over the longest queue that is expected of one call of each proxy. */
     static final long FIRST_NS = TimeUnit.SECONDS.toNanos(20);
     /** The shortest and the longest wait. */
--- a/src/main/java/dewstage/Fleet.java
+++ b/src/main/java/dewstage/Fleet.java
@@ -26,7 +26,7 @@
     /** All zones that a server was ever listed in. */
     private final Map<Integer, Zone> zones = new TreeMap<>();
     /** The ready ones by zone and cell; only where some class is bound to a cell. */
-    private final Map<Long, Ranks> cells;
+    private final Map<Long, RankedServers> cells;
     /** Those with an attempt out, or ejected, in the order of their ids. */
     private final List<Server> inUse = new ArrayList<>();
     /** Those that have not been found warm yet. */
@@ -140,7 +140,7 @@
     private void enter(Server s) {
         s.zone.ready.add(s);
         s.rankedIn = 0;
-        if (cells != null) { cells.computeIfAbsent(cell(s), c -> new Ranks()).add(s); }
+        if (cells != null) { cells.computeIfAbsent(cell(s), c -> new RankedServers()).add(s); }
         ejected += s.ejected ? 1 : 0;
         warmUnits += s.warm ? s.listed.units() : 0;
     }
@@ -217,7 +217,7 @@
 
     /** Is a ready server among the first so many of its zone? */
     boolean within(Server s, double width) {
-        Ranks zone = s.zone.ready;
+        RankedServers zone = s.zone.ready;
         if (s.rankedIn != zone.changes()) {
             s.rank = zone.rank(s);
             s.rankedIn = zone.changes();
@@ -226,7 +226,7 @@
     }
 
     /** The first so many of a zone or a cell, in the order of their ids. */
-    void window(Ranks of, double width, List<Server> into) {
+    void window(RankedServers of, double width, List<Server> into) {
         int size = of.size();
         if (size == 0) { return; }
         int from = first(size);
@@ -249,7 +249,7 @@
 
     /** The first so many that share a cell with a server, in the order of their ids. */
     void cell(Server with, double width, List<Server> into) {
-        Ranks cell = cells.get(cell(with));
+        RankedServers cell = cells.get(cell(with));
         if (cell != null) { window(cell, width, into); }
     }
 }
--- a/src/main/java/dewstage/Ticket.java
+++ b/src/main/java/dewstage/PendingRequest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** A request that a proxy has taken, kept until its last attempt has ended. State only, no decision. */
-final class Ticket {
+final class PendingRequest {
     final Balancer.Request request;
     final Balancer.Profile profile;
     /** When its answer stops earning anything, and when its client leaves. */
@@ -19,9 +19,9 @@
     /** It has waited for room. */
     boolean held;
     /** The queue of its key; null where the order of requests is free. */
-    Turn turn;
+    KeyQueue turn;
 
-    Ticket(Balancer.Request request, Balancer.Profile profile, long aim, long deadline) {
+    PendingRequest(Balancer.Request request, Balancer.Profile profile, long aim, long deadline) {
         this.request = request;
         this.profile = profile;
         this.aim = aim;
@@ -43,8 +43,8 @@
     }
 
     /** The requests of one key that must keep their order, and until when the key rests. */
-    static final class Turn {
-        final Deque<Ticket> queue = new ArrayDeque<>();
+    static final class KeyQueue {
+        final Deque<PendingRequest> queue = new ArrayDeque<>();
         long restUntil;
     }
 }
--- a/src/main/java/dewstage/Policy.java
+++ b/src/main/java/dewstage/Policy.java
@@ -1,7 +1,7 @@
 package dewstage;
 
-import dewstage.Ticket.Attempt;
-import dewstage.Ticket.Turn;
+import dewstage.PendingRequest.Attempt;
+import dewstage.PendingRequest.KeyQueue;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -107,10 +107,10 @@
     private final Fleet fleet;
     /** Those whose last report has not faded, and those that started a moment ago. */
     private final List<Server> recent = new ArrayList<>();
-    private final IntMap<Ticket> tickets = new IntMap<>();
-    private final Map<Long, Turn> turns = new HashMap<>();
+    private final IntMap<PendingRequest> tickets = new IntMap<>();
+    private final Map<Long, KeyQueue> turns = new HashMap<>();
     /** Requests that wait here, those worth most first. */
-    private final List<Ticket> waiting = new ArrayList<>();
+    private final List<PendingRequest> waiting = new ArrayList<>();
     private final Map<Integer, Kind> kinds = new HashMap<>();
     private final Zone home;
     private final Side near = new Side(), far = new Side();
@@ -334,7 +334,7 @@
     }
 
     /** The first attempt that may have run: it binds all further ones. Null if none may have. */
-    private Attempt bound(Ticket t) {
+    private Attempt bound(PendingRequest t) {
         for (Attempt a : t.attempts) {
             boolean never = a.ended != null && a.ended.neverRan
                     && !(a.ended == Status.FULL && settings.fullIsNoProof());
@@ -344,7 +344,7 @@
     }
 
     /** May this server get this request? A repeat of what may have run stays where repeats are dropped. */
-    private boolean fit(Server s, Ticket t, Attempt bound, long now) {
+    private boolean fit(Server s, PendingRequest t, Attempt bound, long now) {
         if (!s.ready() || !budget(s, now)) { return false; }
         for (Attempt a : t.attempts) {
             if (a.to.id == s.id) { return false; }
@@ -354,12 +354,12 @@
     }
 
     /** Smooth weighted rotation over the factors of the fit servers; null if there is none. */
-    private Server pick(Ticket t, long now) {
+    private Server pick(PendingRequest t, long now) {
         Server s = pick(t, t.attempts.size() > 0, now);
         return s == null && leastService == Double.MAX_VALUE ? pick(t, true, now) : s;
     }
 
-    private Server pick(Ticket t, boolean wide, long now) {
+    private Server pick(PendingRequest t, boolean wide, long now) {
         Attempt bound = bound(t);
         Server trial = trial(t, bound, wide, now);
         if (trial != null) { return trial; }
@@ -388,12 +388,12 @@
     }
 
     /** May a repeat of what may have run go to this zone alone, or to one cell of it? */
-    private static boolean tied(Ticket t, Attempt bound) {
+    private static boolean tied(PendingRequest t, Attempt bound) {
         return bound != null && t.profile.effect() == Effect.DEDUPLICATED && t.profile.scope() != Scope.ALL;
     }
 
     /** Fills a side with those that a request may go to, in the order of their ids. */
-    private void look(Side side, Ticket t, Attempt bound, boolean wide) {
+    private void look(Side side, PendingRequest t, Attempt bound, boolean wide) {
         side.weights = 0;
         side.times = 0;
         side.open = 0;
@@ -420,7 +420,7 @@
      * Ejects those in use that have fallen silent. Returns an ejected one that is due a trial: one request at
      * a time that is still whole, and none that could be lost with it.
      */
-    private Server trial(Ticket t, Attempt bound, boolean wide, long now) {
+    private Server trial(PendingRequest t, Attempt bound, boolean wide, long now) {
         for (Server s : fleet.inUse()) {
             boolean own = s.zone == home;
             if (!s.ready() || !fleet.within(s, width(own, wide)) || !fit(s, t, bound, now)) { continue; }
@@ -434,7 +434,7 @@
         return null;
     }
 
-    private void weigh(Side side, Ticket t, Attempt bound, boolean wide, long now) {
+    private void weigh(Side side, PendingRequest t, Attempt bound, boolean wide, long now) {
         double most = (t.aim - now) * ADMIT;
         look(side, t, bound, wide);
         for (Server s : side.looked) {
@@ -465,7 +465,7 @@
     }
 
     /** Share of a mean request's worth lost by missing the promise, at the rotation's expected time. */
-    private double missed(Side side, Ticket t, long now) {
+    private double missed(Side side, PendingRequest t, long now) {
         double expected = side.weights > 0 ? side.times / side.weights : Double.MAX_VALUE;
         double p = Math.exp(-Math.max(1, t.aim - now) / Math.max(1, expected));
         return p * t.profile.worth() / meanWorth * (1 - t.profile.lateShare());
@@ -500,10 +500,11 @@
         age(now);
         arrivals++;
         Profile profile = settings.profiles().get(request.profile());
-        Ticket t = new Ticket(request, profile, aim(request, profile, now), now + request.leftNs());
+        PendingRequest t = new PendingRequest(request, profile, aim(request, profile, now),
+                now + request.leftNs());
         tickets.put(request.ticket(), t);
         if (t.profile.sequential() && request.key() != 0) {
-            t.turn = turns.computeIfAbsent(request.key(), k -> new Turn());
+            t.turn = turns.computeIfAbsent(request.key(), k -> new KeyQueue());
             t.turn.queue.add(t);
         }
         retries = Math.min(RETRY_BURST, retries + RETRY_RATE);
@@ -511,7 +512,7 @@
         if (!offer(t, now)) { hold(t, now); }
     }
 
-    private void hold(Ticket t, long now) {
+    private void hold(PendingRequest t, long now) {
         t.held = true;
         int at = waiting.size();
         while (at > 0 && waiting.get(at - 1).profile.worth() <= t.profile.worth()) { at--; }
@@ -552,7 +553,7 @@
      * Sends an attempt while a server has room; else the request waits here, where it costs no server
      * anything and, if it is whole, can still be refused harmlessly. True if it need not wait (any longer).
      */
-    private boolean offer(Ticket t, long now) {
+    private boolean offer(PendingRequest t, long now) {
         if (t.over) { return true; }
         if (!t.attempts.isEmpty() && !mayAttempt(t, now)) { // its time has run out as it waited
             end(t);
@@ -584,7 +585,7 @@
      * where they are many, one request from each drowns it. So while answers are slow, none has more than its
      * part out.
      */
-    private boolean crowded(Ticket t) {
+    private boolean crowded(PendingRequest t) {
         int profile = t.request.profile();
         // One that started in the middle of it takes slow answers for the quick ones: half a promise is slow.
         return allOut >= part
@@ -596,7 +597,7 @@
      * comes with less than hardly any took; true if it is over. It guards against work for clients that will
      * have left: held here for long, or of little patience. Of those that come so many may still be served.
      */
-    private boolean hopeless(Ticket t, long now) {
+    private boolean hopeless(PendingRequest t, long now) {
         double least = (t.held ? median : quick)[t.request.profile()];
         if (!t.over && (t.aim - now < Math.min(least, t.profile.promiseNs() / 2.0)
                 || now >= t.deadline - HOLD_NS - 2 * settings.stepNs())) {
@@ -619,7 +620,7 @@
         waiting.removeIf(t -> t.profile == full ? hopeless(t, now) : offer(t, now));
     }
 
-    private void send(Ticket t, Server s, long now) {
+    private void send(PendingRequest t, Server s, long now) {
         t.attempts.add(new Attempt(s, load(s), now));
         t.out++;
         allOut++;
@@ -635,7 +636,7 @@
     }
 
     /** May another attempt start now, by the rules on repeats? */
-    private boolean mayAttempt(Ticket t, long now) {
+    private boolean mayAttempt(PendingRequest t, long now) {
         if (t.over || t.begun || now >= t.aim || t.attempts.size() >= settings.maxAttempts()
                 || now >= t.deadline - settings.stepNs()) {
             return false;
@@ -653,7 +654,7 @@
      * After a connection that broke it waits for room as a first one does, if some server may come to have
      * it: that tells of no load, where full servers and errors say that more attempts would do harm.
      */
-    private void again(Ticket t, long now) {
+    private void again(PendingRequest t, long now) {
         boolean broke = t.attempts.get(t.attempts.size() - 1).ended == Status.RESET;
         Attempt bound = bound(t);
         if ((broke ? resends : retries) < 1 || !mayAttempt(t, now)
@@ -672,13 +673,13 @@
         retries -= broke ? 0 : 1;
     }
 
-    private boolean anyFit(Side side, Ticket t, Attempt bound, long now) {
+    private boolean anyFit(Side side, PendingRequest t, Attempt bound, long now) {
         look(side, t, bound, true);
         return side.looked.stream().anyMatch(s -> fit(s, t, bound, now));
     }
 
     /** The final answer where no attempt served: refused if a repeat is harmless, else failed. */
-    private void end(Ticket t) {
+    private void end(PendingRequest t) {
         if (bound(t) == null || t.profile.repeatsAnywhere()) {
             out.refuse(t.request.ticket(), settings.maxRetryAfterNs());
         } else {
@@ -687,7 +688,7 @@
         close(t);
     }
 
-    private void close(Ticket t) {
+    private void close(PendingRequest t) {
         t.over = true;
         if (t.out == 0) {
             forget(t);
@@ -700,26 +701,26 @@
      * Order: one that follows waits until each earlier one of its key is over and has no attempt out, and
      * until the key has rested from attempts that may still be running.
      */
-    private static boolean inTurn(Ticket t, long now) {
+    private static boolean inTurn(PendingRequest t, long now) {
         return t.turn == null || t.turn.queue.peek() == t && now >= t.turn.restUntil;
     }
 
     /** Its last attempt has ended: the next of its key may run. */
-    private void forget(Ticket t) {
+    private void forget(PendingRequest t) {
         tickets.remove(t.request.ticket());
         if (t.turn != null) { t.turn.queue.remove(t); }
     }
 
     @Override
     public void onStreamBegun(long now, int ticket, int attempt, int server, long elapsedNs) {
-        Ticket t = tickets.get(ticket);
+        PendingRequest t = tickets.get(ticket);
         if (t != null) { t.begun = true; }
     }
 
     @Override
     public void onOutcome(long now, Outcome o) {
         heard(now);
-        Ticket t = tickets.get(o.ticket());
+        PendingRequest t = tickets.get(o.ticket());
         if (t == null || o.attempt() >= t.attempts.size() || t.attempts.get(o.attempt()).ended != null) {
             return;
         }
@@ -760,7 +761,7 @@
         }
     }
 
-    private void learn(Ticket t, Attempt a, Outcome o, long now) {
+    private void learn(PendingRequest t, Attempt a, Outcome o, long now) {
         Server s = a.to;
         if (o.status() == Status.OK) {
             quicken(s.zone, o.elapsedNs(), now);
@@ -810,7 +811,7 @@
 
     @Override
     public void onWithdrawn(long now, int ticket) {
-        Ticket t = tickets.get(ticket);
+        PendingRequest t = tickets.get(ticket);
         if (t != null && !t.over) { close(t); }
     }
 
--- a/src/main/java/dewstage/Ranks.java
+++ b/src/main/java/dewstage/RankedServers.java
@@ -8,7 +8,7 @@
  * Servers in the order of their ids, found by rank. In blocks of bounded size: a server that comes or goes
  * moves at most one block, however many there are, and a rank is found by the sizes of the blocks.
  */
-final class Ranks {
+final class RankedServers {
     /** A full block is cut in two. Moving so many references costs less than looking through more blocks. */
     private static final int BLOCK = 256;
 
--- a/src/main/java/dewstage/Zone.java
+++ b/src/main/java/dewstage/Zone.java
@@ -4,7 +4,7 @@
 final class Zone {
     final int id;
     /** Its ready servers. */
-    final Ranks ready = new Ranks();
+    final RankedServers ready = new RankedServers();
     /** Own sends to one of its servers, as remembered. */
     double rate;
     /** The share that a further request would usually get at a server, and when a report last told of it. */
