--- a/src/main/java/dewstage/proxy/Discovery.java
+++ b/src/main/java/dewstage/proxy/Discovery.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonToken;
 import dewstage.Balancer.ListKind;
 import dewstage.Balancer.Member;
-import dewstage.CallPatience;
+import dewstage.CallTiming;
 import dewstage.ListFreshness;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
@@ -117,7 +117,7 @@
     private final long room;
     private final Membership membership;
     private final ListFreshness freshness;
-    private final CallPatience patience = new CallPatience();
+    private final CallTiming patience = new CallTiming();
     private final SplittableRandom random;
     private InetSocketAddress address;
     private long version = -1;
@@ -410,7 +410,7 @@
         } else if (end == DiscoveryWatch.End.REFUSED || end == DiscoveryWatch.End.CLOSED_BY_PEER) {
             freshness.refused(now);
             patience.refused(waitedNs);
-            return CallPatience.waited(waitedNs)
+            return CallTiming.waited(waitedNs)
                     ? patience.pauseNs(freshness.reliable(now), random.nextDouble()) : 0;
         }
         return 0;
--- a/src/test/java/dewstage/PlainWalk.java
+++ b/src/test/java/dewstage/PlainWalk.java
@@ -1,7 +1,7 @@
 package dewstage;
 
-import dewstage.Ticket.Attempt;
-import dewstage.Ticket.Turn;
+import dewstage.PendingRequest.Attempt;
+import dewstage.PendingRequest.KeyQueue;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -88,10 +88,10 @@
     /** Each one's place in this proxy's order of its zone, 0 to 1; those with room in the last pick. */
     private final Map<Server, Double> places = new HashMap<>();
     private final Set<Server> fits = new HashSet<>();
-    private final IntMap<Ticket> tickets = new IntMap<>();
-    private final Map<Long, Turn> turns = new HashMap<>();
+    private final IntMap<PendingRequest> tickets = new IntMap<>();
+    private final Map<Long, KeyQueue> turns = new HashMap<>();
 
-    private final List<Ticket> waiting = new ArrayList<>();
+    private final List<PendingRequest> waiting = new ArrayList<>();
 
     private final double[] zoneRate = new double[256], usual = new double[256], kindPace = new double[256];
     private final int[] zoneReady = new int[256];
@@ -295,7 +295,7 @@
         return Math.max(heard, SUBSET_LEAST * Math.max(1, servers.size() / (double) settings.balancers()));
     }
 
-    private Attempt bound(Ticket t) {
+    private Attempt bound(PendingRequest t) {
         for (Attempt a : t.attempts) {
             boolean never = a.ended != null && a.ended.neverRan
                     && !(a.ended == Status.FULL && settings.fullIsNoProof());
@@ -304,7 +304,7 @@
         return null;
     }
 
-    private boolean fit(Server s, Ticket t, Attempt bound, long now) {
+    private boolean fit(Server s, PendingRequest t, Attempt bound, long now) {
         if (!s.ready() || !budget(s, now)) { return false; }
         for (Attempt a : t.attempts) {
             if (a.to.id == s.id) { return false; }
@@ -316,12 +316,12 @@
                 && (t.profile.scope() == Scope.ZONE || s.listed.cell() == bound.to.listed.cell());
     }
 
-    private Server pick(Ticket t, long now) {
+    private Server pick(PendingRequest t, long now) {
         Server s = pick(t, t.attempts.size() > 0, now);
         return s == null && leastService == Double.MAX_VALUE ? pick(t, true, now) : s;
     }
 
-    private Server pick(Ticket t, boolean wide, long now) {
+    private Server pick(PendingRequest t, boolean wide, long now) {
         Arrays.fill(weights, 0);
         Arrays.fill(times, 0);
         Arrays.fill(open, 0);
@@ -366,7 +366,7 @@
         return best;
     }
 
-    private double missed(int side, Ticket t, long now) {
+    private double missed(int side, PendingRequest t, long now) {
         double expected = weights[side] > 0 ? times[side] / weights[side] : Double.MAX_VALUE;
         double p = Math.exp(-Math.max(1, t.aim - now) / Math.max(1, expected));
         return p * t.profile.worth() / meanWorth * (1 - t.profile.lateShare());
@@ -393,10 +393,11 @@
         age(now);
         arrivals++;
         Profile profile = settings.profiles().get(request.profile());
-        Ticket t = new Ticket(request, profile, aim(request, profile, now), now + request.leftNs());
+        PendingRequest t = new PendingRequest(request, profile, aim(request, profile, now),
+                now + request.leftNs());
         tickets.put(request.ticket(), t);
         if (t.profile.sequential() && request.key() != 0) {
-            t.turn = turns.computeIfAbsent(request.key(), k -> new Turn());
+            t.turn = turns.computeIfAbsent(request.key(), k -> new KeyQueue());
             t.turn.queue.add(t);
         }
         retries = Math.min(RETRY_BURST, retries + RETRY_RATE);
@@ -404,7 +405,7 @@
         if (!offer(t, now)) { hold(t, now); }
     }
 
-    private void hold(Ticket t, long now) {
+    private void hold(PendingRequest t, long now) {
         t.held = true;
         int at = waiting.size();
         while (at > 0 && waiting.get(at - 1).profile.worth() <= t.profile.worth()) { at--; }
@@ -438,7 +439,7 @@
         }
     }
 
-    private boolean offer(Ticket t, long now) {
+    private boolean offer(PendingRequest t, long now) {
         if (t.over) { return true; }
         if (!t.attempts.isEmpty() && !mayAttempt(t, now)) {
             end(t);
@@ -459,13 +460,13 @@
         return lost >= THROTTLE_LOST && sent > THROTTLE_RATIO * good + unknown;
     }
 
-    private boolean crowded(Ticket t) {
+    private boolean crowded(PendingRequest t) {
         int profile = t.request.profile();
         return allOut >= part
                 && median[profile] > Math.min(CROWDED * quick[profile], t.profile.promiseNs() / 2.0);
     }
 
-    private boolean hopeless(Ticket t, long now) {
+    private boolean hopeless(PendingRequest t, long now) {
         double least = (t.held ? median : quick)[t.request.profile()];
         if (!t.over && (t.aim - now < Math.min(least, t.profile.promiseNs() / 2.0)
                 || now >= t.deadline - HOLD_NS - 2 * settings.stepNs())) {
@@ -486,7 +487,7 @@
         waiting.removeIf(t -> t.profile == full ? hopeless(t, now) : offer(t, now));
     }
 
-    private void send(Ticket t, Server s, long now) {
+    private void send(PendingRequest t, Server s, long now) {
         t.attempts.add(new Attempt(s, load(s), now));
         t.out++;
         allOut++;
@@ -499,7 +500,7 @@
         out.send(t.request.ticket(), s.id, cut ? Math.max(1, t.aim - now) : 0);
     }
 
-    private boolean mayAttempt(Ticket t, long now) {
+    private boolean mayAttempt(PendingRequest t, long now) {
         if (t.over || t.begun || now >= t.aim || t.attempts.size() >= settings.maxAttempts()
                 || now >= t.deadline - settings.stepNs()) {
             return false;
@@ -511,7 +512,7 @@
                         - 2 * settings.stepNs();
     }
 
-    private void again(Ticket t, long now) {
+    private void again(PendingRequest t, long now) {
         boolean broke = t.attempts.get(t.attempts.size() - 1).ended == Status.RESET;
         Attempt bound = bound(t);
         if ((broke ? resends : retries) < 1 || !mayAttempt(t, now)
@@ -530,7 +531,7 @@
         retries -= broke ? 0 : 1;
     }
 
-    private void end(Ticket t) {
+    private void end(PendingRequest t) {
         if (bound(t) == null || t.profile.effect() == Effect.IDEMPOTENT
                 || t.profile.effect() == Effect.DEDUPLICATED && t.profile.scope() == Scope.ALL) {
             out.refuse(t.request.ticket(), settings.maxRetryAfterNs());
@@ -540,7 +541,7 @@
         close(t);
     }
 
-    private void close(Ticket t) {
+    private void close(PendingRequest t) {
         t.over = true;
         if (t.out == 0) {
             forget(t);
@@ -549,25 +550,25 @@
         }
     }
 
-    private static boolean inTurn(Ticket t, long now) {
+    private static boolean inTurn(PendingRequest t, long now) {
         return t.turn == null || t.turn.queue.peek() == t && now >= t.turn.restUntil;
     }
 
-    private void forget(Ticket t) {
+    private void forget(PendingRequest t) {
         tickets.remove(t.request.ticket());
         if (t.turn != null) { t.turn.queue.remove(t); }
     }
 
     @Override
     public void onStreamBegun(long now, int ticket, int attempt, int server, long elapsedNs) {
-        Ticket t = tickets.get(ticket);
+        PendingRequest t = tickets.get(ticket);
         if (t != null) { t.begun = true; }
     }
 
     @Override
     public void onOutcome(long now, Outcome o) {
         heard(now);
-        Ticket t = tickets.get(o.ticket());
+        PendingRequest t = tickets.get(o.ticket());
         if (t == null || o.attempt() >= t.attempts.size() || t.attempts.get(o.attempt()).ended != null) {
             return;
         }
@@ -602,7 +603,7 @@
         }
     }
 
-    private void learn(Ticket t, Attempt a, Outcome o, long now) {
+    private void learn(PendingRequest t, Attempt a, Outcome o, long now) {
         Server s = a.to;
         if (o.status() == Status.OK) {
             quicken(zone(s), o.elapsedNs(), now);
@@ -649,7 +650,7 @@
 
     @Override
     public void onWithdrawn(long now, int ticket) {
-        Ticket t = tickets.get(ticket);
+        PendingRequest t = tickets.get(ticket);
         if (t != null && !t.over) { close(t); }
     }
 
