--- a/src/main/java/dewstage/Fleet.java
+++ b/src/main/java/dewstage/Fleet.java
@@ -112,7 +112,7 @@
 
     /** The list has ended: those gone are forgotten once none of their attempts is out. */
     void end(boolean whole) {
-        if (whole) { byId.each(this::unname); }
+        if (whole) { byId.forEach(this::unname); }
         leaving.removeIf(s -> {
             boolean gone = s.attached && (!s.named || s.listed.state() == State.GONE);
             if (gone && s.out == 0) {
--- a/src/main/java/dewstage/IntMap.java
+++ b/src/main/java/dewstage/IntMap.java
@@ -2,65 +2,68 @@
 
 import java.util.function.Consumer;
 
-/** A map from int to object without boxing: open addressing, linear probing, removal by shifting back. */
+/** A hash map with int keys that are not boxed: open addressing, linear probing, no tombstones on removal. */
 public final class IntMap<V> {
     private int[] keys = new int[64];
     private Object[] values = new Object[64];
     private int size;
 
-    private int slot(int key) {
+    /** Returns the index of a key, or that of the free slot where it belongs. */
+    private int indexOf(int key) {
         int mask = keys.length - 1;
-        int i = (key * 0x9E3779B9 >>> 7) & mask;
-        while (values[i] != null && keys[i] != key) {
-            i = (i + 1) & mask;
+        int index = (key * 0x9E3779B9 >>> 7) & mask;
+        while (values[index] != null && keys[index] != key) {
+            index = (index + 1) & mask;
         }
-        return i;
+        return index;
     }
 
+    /** Returns the value of a key, or null. */
     @SuppressWarnings("unchecked")
     public V get(int key) {
-        return (V) values[slot(key)];
+        return (V) values[indexOf(key)];
     }
 
     public int size() {
         return size;
     }
 
+    /** Sets the value of a key; null is not allowed. */
     public void put(int key, V value) {
         if (size * 2 >= keys.length) {
             grow();
         }
-        int i = slot(key);
-        if (values[i] == null) {
+        int index = indexOf(key);
+        if (values[index] == null) {
             size++;
         }
-        keys[i] = key;
-        values[i] = value;
+        keys[index] = key;
+        values[index] = value;
     }
 
     public void remove(int key) {
-        int i = slot(key);
-        if (values[i] == null) {
+        int index = indexOf(key);
+        if (values[index] == null) {
             return;
         }
         int mask = keys.length - 1;
-        values[i] = null;
+        values[index] = null;
         size--;
-        for (int j = (i + 1) & mask; values[j] != null; j = (j + 1) & mask) {
+        for (int j = (index + 1) & mask; values[j] != null; j = (j + 1) & mask) {
             Object moved = values[j];
             values[j] = null;
-            int to = slot(keys[j]);
-            keys[to] = keys[j];
-            values[to] = moved;
+            int target = indexOf(keys[j]);
+            keys[target] = keys[j];
+            values[target] = moved;
         }
     }
 
-    /** Hands on each value, in no order; the map must not change meanwhile. */
+    /** Passes each value to an action, in no particular order; the action must not change the map. */
     @SuppressWarnings("unchecked")
-    public void each(Consumer<V> to) {
-        for (Object v : values) {
-            if (v != null) {
-                to.accept((V) v);
+    public void forEach(Consumer<V> action) {
+        for (Object value : values) {
+            if (value != null) {
+                action.accept((V) value);
             }
         }
     }
@@ -72,9 +75,9 @@
         values = new Object[keys.length];
         for (int i = 0; i < oldKeys.length; i++) {
             if (oldValues[i] != null) {
-                int to = slot(oldKeys[i]);
-                keys[to] = oldKeys[i];
-                values[to] = oldValues[i];
+                int target = indexOf(oldKeys[i]);
+                keys[target] = oldKeys[i];
+                values[target] = oldValues[i];
             }
         }
     }
--- a/src/main/java/dewstage/ListFreshness.java
+++ b/src/main/java/dewstage/ListFreshness.java
@@ -3,84 +3,86 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides how long the list of servers may be relied on. What discovery has had for TOLD_NS counts as told,
- * whether or not it arrived, unless discovery could not be reached: so a list that nothing has confirmed for
- * that time and the grace of drains may name servers that must not be sent to. Times are in ns on any clock
- * that never goes back.
+ * Decides how long a proxy may rely on its member list. A proxy counts as notified of a change NOTIFIED_NS
+ * after discovery had the change and could be reached, whether or not the notification arrived. A list that
+ * was not confirmed for that time plus the drain grace may thus contain servers that must not be sent to.
+ * Times are in ns on any monotonic clock.
  */
 public final class ListFreshness {
-    /** A change counts as told so long after discovery had it and could be reached. */
-    static final long TOLD_NS = TimeUnit.SECONDS.toNanos(6);
-    /** What a new address of discovery has counts as told so long after the signal. */
-    static final long MOVED_NS = TimeUnit.SECONDS.toNanos(4);
-    /** A process may be held up between reading its clock and writing, and a confirmation is read late. */
+    /** After this time a proxy counts as notified of a change, if discovery could be reached. */
+    static final long NOTIFIED_NS = TimeUnit.SECONDS.toNanos(6);
+    /** After this time a proxy counts as notified of what discovery has at a new address. */
+    static final long ADDRESS_CHANGE_NOTIFIED_NS = TimeUnit.SECONDS.toNanos(4);
+    /** Covers a process that pauses between reading the clock and sending, and a confirmation read late. */
     static final long MARGIN_NS = TimeUnit.MILLISECONDS.toNanos(400);
 
-    /** An outage of discovery is taken for one no longer than this: the fleet must outlast those. */
-    static final long OUTAGE_NS = TimeUnit.SECONDS.toNanos(30);
+    /** Longest time that counts as an outage of discovery; the fleet must keep serving through one. */
+    static final long MAX_OUTAGE_NS = TimeUnit.SECONDS.toNanos(30);
 
-    private final long lastsNs;
-    private final long afterMoveNs;
-    private boolean everReliable;
-    private long reliableUntil;
-    private boolean outage;
-    private long outageSince;
+    /** How long the list is reliable after a confirmation, in ns. */
+    private final long reliableNs;
+    /** How long the list stays reliable after the address of discovery has changed, in ns. */
+    private final long reliableAfterAddressChangeNs;
+    private boolean wasEverReliable;
+    private long reliableUntilNs;
+    private boolean isOutage;
+    private long outageSinceNs;
 
     /**
      * Begins with a list that nothing has confirmed.
      *
-     * @param drainGraceNs how long after it was told a proxy may still send to a server that drains
-     * @param askWithinNs where lists are asked for, the time after which one counts as told of what came
-     *     later; else 0
+     * @param drainGraceNs how long after its notification a proxy may still send to a draining server
+     * @param askWithinNs where lists are requested by calls, the time after which a proxy counts as notified
+     *     of later changes; otherwise 0
      */
     public ListFreshness(long drainGraceNs, long askWithinNs) {
-        long told = askWithinNs > 0 ? Math.min(TOLD_NS, askWithinNs) : TOLD_NS;
-        this.lastsNs = told + drainGraceNs - MARGIN_NS;
-        this.afterMoveNs = MOVED_NS + drainGraceNs - MARGIN_NS;
+        long notifiedNs = askWithinNs > 0 ? Math.min(NOTIFIED_NS, askWithinNs) : NOTIFIED_NS;
+        this.reliableNs = notifiedNs + drainGraceNs - MARGIN_NS;
+        this.reliableAfterAddressChangeNs = ADDRESS_CHANGE_NOTIFIED_NS + drainGraceNs - MARGIN_NS;
     }
 
-    /** Discovery has shown that the list in force is its own. */
-    public void confirmed(long now) {
-        outage = false;
+    /** Records that discovery has confirmed the current list. */
+    public void onConfirmed(long now) {
+        isOutage = false;
         extend(now);
     }
 
-    /** Discovery has ended a watch that it had answered, as it does when it goes down. */
-    public void watchEnded(long now) {
-        outage = true;
-        outageSince = now;
+    /** Records that discovery has ended a watch that it had answered, as it does when it goes down. */
+    public void onWatchEnded(long now) {
+        isOutage = true;
+        outageSinceNs = now;
     }
 
     /**
-     * Discovery has refused or ended a call that it had not answered. Behind the end of a watch that is taken
-     * for an outage, in which nothing new counts as told; a process that has never heard from discovery, or
-     * whose watch fell silent, has no reason to take it for one.
+     * Records that discovery has refused or ended a call that it had not answered. After the end of a watch
+     * this indicates an outage, during which no change counts as notified. A proxy that never had an answer
+     * from discovery, or whose watch stalled, has no reason to assume an outage.
      */
-    public void refused(long now) {
-        if (outage && now - outageSince < OUTAGE_NS) {
+    public void onCallRefused(long now) {
+        if (isOutage && now - outageSinceNs < MAX_OUTAGE_NS) {
             extend(now);
         }
     }
 
-    /** Discovery could not be reached: until it can, nothing new counts as told. */
-    public void unreachable(long now) {
+    /** Records that discovery could not be reached; until it can, no change counts as notified. */
+    public void onUnreachable(long now) {
         extend(now);
     }
 
-    /** Discovery is at another address, and what it has there has to be learnt from there. */
-    public void moved(long now) {
-        if (everReliable) {
-            reliableUntil = Math.min(reliableUntil, now + afterMoveNs);
+    /** Records that discovery is at another address, from which the list has to be fetched. */
+    public void onAddressChanged(long now) {
+        if (wasEverReliable) {
+            reliableUntilNs = Math.min(reliableUntilNs, now + reliableAfterAddressChangeNs);
         }
     }
 
-    /** May a request be sent to a server because the list names it? */
-    public boolean reliable(long now) {
-        return everReliable && now < reliableUntil;
+    /** Returns whether a request may be sent to a server because the list contains it. */
+    public boolean isReliable(long now) {
+        return wasEverReliable && now < reliableUntilNs;
     }
 
     private void extend(long now) {
-        reliableUntil = everReliable ? Math.max(reliableUntil, now + lastsNs) : now + lastsNs;
-        everReliable = true;
+        reliableUntilNs = wasEverReliable ? Math.max(reliableUntilNs, now + reliableNs) : now + reliableNs;
+        wasEverReliable = true;
     }
 }
