--- a/src/main/java/dewstage/proxy/Discovery.java
+++ b/src/main/java/dewstage/proxy/Discovery.java
@@ -239,7 +239,7 @@
         pauseMs = FIRST_PAUSE_MS;
         refusalMs = 0;
         notBefore = System.nanoTime();
-        freshness.moved(System.nanoTime());
+        freshness.onAddressChanged(System.nanoTime());
         closeCall("discovery has moved");
         wanted = true;
         open();
@@ -279,7 +279,7 @@
         failedLooks = 0;
         call = new DiscoveryWatch(loop, this, address, version, silenceMs, room,
                 new ListReader(membership, config), newRecord());
-        waitEnd = loop.schedule(() -> call.giveUp("no answer"), patience.waitNs(), TimeUnit.NANOSECONDS);
+        waitEnd = loop.schedule(() -> call.giveUp("no answer"), patience.timeoutNs(), TimeUnit.NANOSECONDS);
         look = loop.schedule(this::lookForLife, LOOK_MS, TimeUnit.MILLISECONDS);
         call.open((int) connectMs(config.drainGraceNs()));
     }
@@ -317,7 +317,7 @@
     private void looked(boolean alive) {
         failedLooks = alive ? 0 : failedLooks + 1;
         if (failedLooks >= MOST_FAILED_LOOKS) {
-            freshness.unreachable(System.nanoTime());
+            freshness.onUnreachable(System.nanoTime());
             call.giveUp("discovery accepts no connections any more");
         } else {
             look = loop.schedule(this::lookForLife, alive ? LOOK_MS : FIRST_PAUSE_MS, TimeUnit.MILLISECONDS);
@@ -326,7 +326,7 @@
 
     @Override
     public void answered(DiscoveryWatch answered) {
-        patience.answered(answered.ageNs());
+        patience.onAnswered(answered.ageNs());
         callIsOver();
         unconnected = 0;
         closeWatch("another call is answered");
@@ -359,7 +359,7 @@
     private void confirm(DiscoveryWatch by) {
         if (by.address().equals(address)) {
             confirmedAt = System.nanoTime();
-            freshness.confirmed(confirmedAt);
+            freshness.onConfirmed(confirmedAt);
         }
     }
 
@@ -371,7 +371,7 @@
         } else {
             watch = null;
             if (end == DiscoveryWatch.End.CLOSED_BY_PEER) {
-                freshness.watchEnded(System.nanoTime());
+                freshness.onWatchEnded(System.nanoTime());
             }
         }
         // Doubles until a watch ends otherwise: a list that was taken ahead of the large one proves nothing.
@@ -404,14 +404,14 @@
         callIsOver();
         unconnected = end == DiscoveryWatch.End.NOT_CONNECTED ? unconnected + 1 : 0;
         if (end == DiscoveryWatch.End.NOT_CONNECTED) {
-            freshness.unreachable(now);
+            freshness.onUnreachable(now);
         } else if (end == DiscoveryWatch.End.SILENT) {
-            patience.givenUp();
+            patience.onTimedOut();
         } else if (end == DiscoveryWatch.End.REFUSED || end == DiscoveryWatch.End.CLOSED_BY_PEER) {
-            freshness.refused(now);
-            patience.refused(waitedNs);
-            return CallTiming.waited(waitedNs)
-                    ? patience.pauseNs(freshness.reliable(now), random.nextDouble()) : 0;
+            freshness.onCallRefused(now);
+            patience.onRefused(waitedNs);
+            return CallTiming.wasQueued(waitedNs)
+                    ? patience.retryDelayNs(freshness.isReliable(now), random.nextDouble()) : 0;
         }
         return 0;
     }
--- a/src/main/java/dewstage/proxy/Entries.java
+++ b/src/main/java/dewstage/proxy/Entries.java
@@ -55,7 +55,7 @@
     }
 
     void each(Consumer<Membership.Entry> to) {
-        byNumber.each(to);
+        byNumber.forEach(to);
     }
 
     /**
--- a/src/main/java/dewstage/proxy/Proxy.java
+++ b/src/main/java/dewstage/proxy/Proxy.java
@@ -431,7 +431,7 @@
 
     /** Is the list known well enough to send by it? Each change of that leaves a line in the log. */
     private boolean listReliable() {
-        boolean reliable = !watches || freshness.reliable(System.nanoTime());
+        boolean reliable = !watches || freshness.isReliable(System.nanoTime());
         if (reliable != relied) {
             relied = reliable;
             Log.line("list version " + discovery.version() + ", confirmed " + listAge()
--- a/src/test/java/dewstage/proxy/Setup.java
+++ b/src/test/java/dewstage/proxy/Setup.java
@@ -94,7 +94,7 @@
     /** The known list counts as confirmed for an hour: discovery need not answer. */
     private static ListFreshness confirmed() {
         ListFreshness freshness = new ListFreshness(TimeUnit.HOURS.toNanos(1), 0);
-        freshness.confirmed(System.nanoTime());
+        freshness.onConfirmed(System.nanoTime());
         return freshness;
     }
 
