--- a/src/main/java/dewstage/Fleet.java
+++ b/src/main/java/dewstage/Fleet.java
@@ -15,241 +15,261 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The listed servers, found by what a decision asks for: by id, by place in a zone, by cell, those in use,
- * those that are cold. Counts are kept as they change. So a change costs what changed and a look what it
- * looks at, however many servers there are. State only, no decision.
+ * The servers of the member list, indexed by everything that a decision asks for: by id, by rank in a zone or
+ * a cell, those in use and those that are cold. Counts are maintained incrementally, so the cost of an update
+ * depends on the number of changed servers, and the cost of a query on the number of servers that it returns,
+ * not on the size of the fleet. The decisions are in {@link Policy}.
  */
 final class Fleet {
-    private static final Comparator<Server> BY_ID = Comparator.comparingInt(s -> s.id);
+    private static final Comparator<Server> BY_ID = Comparator.comparingInt(server -> server.id);
 
     private final IntMap<Server> byId = new IntMap<>();
-    /** All zones that a server was ever listed in. */
+    /** Every zone in which a server has ever been listed, by its id. */
     private final Map<Integer, Zone> zones = new TreeMap<>();
-    /** The ready ones by zone and cell; only where some class is bound to a cell. */
-    private final Map<Long, RankedServers> cells;
-    /** Those with an attempt out, or ejected, in the order of their ids. */
+    /** The ready servers by zone and cell; null unless some class is bound to a cell. */
+    private final Map<Long, RankedServers> readyByCell;
+    /** The servers that have an attempt in flight or are ejected, in order of ids. */
     private final List<Server> inUse = new ArrayList<>();
-    /** Those that have not been found warm yet. */
+    /** The servers that were not warm when last checked. */
     private final List<Server> cold = new ArrayList<>();
-    /** No longer listed, but perhaps with an attempt out. */
+    /** The servers that are no longer listed; one stays until its attempts in flight have completed. */
     private final Set<Server> leaving = new LinkedHashSet<>();
-    /** Where this proxy begins in each zone's order, as a share of it. */
+    /** Offset at which this proxy's window begins in each zone, as a fraction of the ready servers. */
     private final double phase;
-    private final long startedAt;
+    private final long startedAtNs;
+    /** Sum of the capacity units of the ready servers that are warm. */
     private double warmUnits;
-    private int ejected;
-    private int lists;
+    private int ejectedCount;
+    /** Number of the current member list. */
+    private int listNumber;
 
-    Fleet(double phase, boolean boundToCells, long now) {
+    Fleet(double phase, boolean indexCells, long now) {
         this.phase = phase - Math.floor(phase);
-        this.startedAt = now;
-        this.cells = boundToCells ? new HashMap<>() : null;
+        this.startedAtNs = now;
+        this.readyByCell = indexCells ? new HashMap<>() : null;
     }
 
-    /** The zone of a number: the same one as long as the proxy lives. */
+    /** Returns the zone with an id; always the same instance for the same id. */
     Zone zone(int id) {
-        return zones.computeIfAbsent(id, z -> new Zone(z, startedAt));
+        return zones.computeIfAbsent(id, key -> new Zone(key, startedAtNs));
     }
 
     Collection<Zone> zones() {
         return zones.values();
     }
 
+    /** Returns the server with an id, or null. */
     Server get(int id) {
         return byId.get(id);
     }
 
-    /** All that are listed, and those still kept for an attempt. */
+    /** Returns the number of servers, including unlisted ones that still have an attempt in flight. */
     int size() {
         return byId.size();
     }
 
-    int ready() {
-        return zones.values().stream().mapToInt(z -> z.ready.size()).sum();
+    int readyCount() {
+        return zones.values().stream().mapToInt(zone -> zone.readyServers.size()).sum();
     }
 
-    /** How many of the ready ones are ejected. */
-    int ejected() {
-        return ejected;
+    /** Returns the number of ready servers that are ejected. */
+    int ejectedCount() {
+        return ejectedCount;
     }
 
-    // ---- changes ----
+    // ---- updates ----
 
-    /** A server that is new or has started anew takes the place of its old process. */
-    void start(Server s, boolean warm) {
-        Server old = byId.get(s.id);
-        if (old != null) { detach(old); }
-        byId.put(s.id, s);
-        s.zone = zone(s.listed.zone());
-        s.attached = true;
-        s.named = true;
-        s.warm = warm;
-        if (!warm) { cold.add(s); }
-        if (s.ready()) { enter(s); }
+    /**
+     * Adds a server that is new or has restarted; it replaces the server with the same id, if there is one.
+     */
+    void addStarted(Server server, boolean isWarm) {
+        Server previous = byId.get(server.id);
+        if (previous != null) { detach(previous); }
+        byId.put(server.id, server);
+        server.zone = zone(server.listEntry.zone());
+        server.isInFleet = true;
+        server.isListed = true;
+        server.isWarm = isWarm;
+        if (!isWarm) { cold.add(server); }
+        if (server.isReady()) { addToIndexes(server); }
     }
 
-    /** Begins a list; of a whole one, what it does not name is gone at its end. */
-    void begin() {
-        lists++;
+    /** Begins a member list. */
+    void beginList() {
+        listNumber++;
     }
 
-    /** What the list says of a server now. */
-    void list(Server s, Member m) {
-        boolean was = s.ready();
-        boolean stays = was && m.state() == State.READY && m.zone() == s.listed.zone()
-                && m.cell() == s.listed.cell() && m.units() == s.listed.units();
-        if (was && !stays) { leave(s); }
-        s.listed = m;
-        if (s.zone.id != m.zone()) { s.zone = zone(m.zone()); }
-        s.named = true;
-        s.namedIn = lists;
-        if (s.ready()) {
-            if (!stays) { enter(s); }
-        } else if (m.state() == State.GONE) {
-            leaving.add(s);
+    /** Updates a server to its entry in the current member list. */
+    void applyEntry(Server server, Member entry) {
+        boolean wasReady = server.isReady();
+        boolean keepsIndexes = wasReady && entry.state() == State.READY
+                && entry.zone() == server.listEntry.zone()
+                && entry.cell() == server.listEntry.cell() && entry.units() == server.listEntry.units();
+        if (wasReady && !keepsIndexes) { removeFromIndexes(server); }
+        server.listEntry = entry;
+        if (server.zone.id != entry.zone()) { server.zone = zone(entry.zone()); }
+        server.isListed = true;
+        server.lastListNumber = listNumber;
+        if (server.isReady()) {
+            if (!keepsIndexes) { addToIndexes(server); }
+        } else if (entry.state() == State.GONE) {
+            leaving.add(server);
         }
     }
 
-    /** The list has ended: those gone are forgotten once none of their attempts is out. */
-    void end(boolean whole) {
-        if (whole) { byId.forEach(this::unname); }
-        leaving.removeIf(s -> {
-            boolean gone = s.attached && (!s.named || s.listed.state() == State.GONE);
-            if (gone && s.out == 0) {
-                detach(s);
-                byId.remove(s.id);
+    /**
+     * Ends a member list and removes the servers that are gone and have no attempt in flight.
+     *
+     * @param isComplete whether servers that the list does not contain are gone
+     */
+    void endList(boolean isComplete) {
+        if (isComplete) { byId.forEach(this::unlistIfAbsent); }
+        leaving.removeIf(server -> {
+            boolean isGone = server.isInFleet
+                    && (!server.isListed || server.listEntry.state() == State.GONE);
+            if (isGone && server.inFlight == 0) {
+                detach(server);
+                byId.remove(server.id);
             }
-            return !gone || !s.attached;
+            return !isGone || !server.isInFleet;
         });
     }
 
-    private void unname(Server s) {
-        if (s.namedIn != lists) {
-            if (s.ready()) { leave(s); }
-            s.named = false;
-            leaving.add(s);
+    private void unlistIfAbsent(Server server) {
+        if (server.lastListNumber != listNumber) {
+            if (server.isReady()) { removeFromIndexes(server); }
+            server.isListed = false;
+            leaving.add(server);
         }
     }
 
-    private void detach(Server s) {
-        if (s.ready()) { leave(s); }
-        s.attached = false;
-        used(s);
+    private void detach(Server server) {
+        if (server.isReady()) { removeFromIndexes(server); }
+        server.isInFleet = false;
+        updateInUse(server);
     }
 
-    private void enter(Server s) {
-        s.zone.ready.add(s);
-        s.rankedIn = 0;
-        if (cells != null) { cells.computeIfAbsent(cell(s), c -> new RankedServers()).add(s); }
-        ejected += s.ejected ? 1 : 0;
-        warmUnits += s.warm ? s.listed.units() : 0;
+    /** Adds a ready server to its zone, its cell and the counts. */
+    private void addToIndexes(Server server) {
+        server.zone.readyServers.add(server);
+        server.rankVersion = 0;
+        if (readyByCell != null) {
+            readyByCell.computeIfAbsent(cellKey(server), key -> new RankedServers()).add(server);
+        }
+        ejectedCount += server.isEjected ? 1 : 0;
+        warmUnits += server.isWarm ? server.listEntry.units() : 0;
     }
 
-    private void leave(Server s) {
-        s.zone.ready.remove(s);
-        if (cells != null) {
-            cells.get(cell(s)).remove(s);
-            if (cells.get(cell(s)).size() == 0) { cells.remove(cell(s)); }
+    /** Undoes {@link #addToIndexes}. */
+    private void removeFromIndexes(Server server) {
+        server.zone.readyServers.remove(server);
+        if (readyByCell != null) {
+            readyByCell.get(cellKey(server)).remove(server);
+            if (readyByCell.get(cellKey(server)).size() == 0) { readyByCell.remove(cellKey(server)); }
         }
-        ejected -= s.ejected ? 1 : 0;
-        warmUnits -= s.warm ? s.listed.units() : 0;
+        ejectedCount -= server.isEjected ? 1 : 0;
+        warmUnits -= server.isWarm ? server.listEntry.units() : 0;
     }
 
-    private static long cell(Server s) {
-        return (long) s.zone.id << Integer.SIZE | s.listed.cell() & 0xffffffffL;
+    private static long cellKey(Server server) {
+        return (long) server.zone.id << Integer.SIZE | server.listEntry.cell() & 0xffffffffL;
     }
 
-    void eject(Server s, boolean on) {
-        if (s.ejected != on) {
-            s.ejected = on;
-            ejected += !s.attached || !s.ready() ? 0 : on ? 1 : -1;
-            used(s);
+    void setEjected(Server server, boolean eject) {
+        if (server.isEjected != eject) {
+            server.isEjected = eject;
+            ejectedCount += !server.isInFleet || !server.isReady() ? 0 : eject ? 1 : -1;
+            updateInUse(server);
         }
     }
 
-    /** To be told when a server's attempts out have changed from none or to none. */
-    void used(Server s) {
-        boolean use = s.attached && (s.out > 0 || s.ejected);
-        if (use == s.inUse) { return; }
-        s.inUse = use;
-        int at = Collections.binarySearch(inUse, s, BY_ID);
-        if (use) {
-            inUse.add(-1 - at, s);
+    /** Updates the list of servers in use; must be called after each change of a server's inFlight. */
+    void updateInUse(Server server) {
+        boolean belongsInList = server.isInFleet && (server.inFlight > 0 || server.isEjected);
+        if (belongsInList == server.isInUse) { return; }
+        server.isInUse = belongsInList;
+        int index = Collections.binarySearch(inUse, server, BY_ID);
+        if (belongsInList) {
+            inUse.add(-1 - index, server);
         } else {
-            inUse.remove(at);
+            inUse.remove(index);
         }
     }
 
-    // ---- looks ----
+    // ---- queries ----
 
-    /** Those with an attempt out, or ejected, in the order of their ids. */
+    /** Returns the servers that have an attempt in flight or are ejected, in order of ids. */
     List<Server> inUse() {
         return inUse;
     }
 
-    /** The units of the ready ones, each times its warmth (1 when warm). The cold ones alone are walked. */
-    double units(ToDoubleFunction<Server> warmth) {
-        double[] units = {0};
-        cold.removeIf(s -> {
-            double w = s.attached ? warmth.applyAsDouble(s) : 0;
-            s.warm = w >= 1;
-            boolean counts = s.attached && s.ready();
-            warmUnits += counts && s.warm ? s.listed.units() : 0;
-            units[0] += counts && !s.warm ? s.listed.units() * w : 0;
-            return s.warm || !s.attached;
+    /**
+     * Returns the sum of the capacity units of the ready servers, each multiplied by its warm fraction (1
+     * when warm). Scans the cold servers only.
+     */
+    double effectiveUnits(ToDoubleFunction<Server> warmFraction) {
+        double[] coldUnits = {0};
+        cold.removeIf(server -> {
+            double fraction = server.isInFleet ? warmFraction.applyAsDouble(server) : 0;
+            server.isWarm = fraction >= 1;
+            boolean counts = server.isInFleet && server.isReady();
+            warmUnits += counts && server.isWarm ? server.listEntry.units() : 0;
+            coldUnits[0] += counts && !server.isWarm ? server.listEntry.units() * fraction : 0;
+            return server.isWarm || !server.isInFleet;
         });
-        return units[0] + warmUnits;
+        return coldUnits[0] + warmUnits;
     }
 
     /**
-     * The rank at which this proxy's order of so many servers begins; it goes on round the end. Each proxy
-     * begins elsewhere in the one order.
+     * Returns the rank at which this proxy's window begins in a zone or cell of a given size; the window
+     * wraps around the end. The proxies share one order of the servers, and each begins at a rank of its own.
      */
-    private int first(int size) {
+    private int windowStart(int size) {
         return (int) Math.ceil(size * (1 - phase)) % size;
     }
 
-    /** How many servers lie within a width: the first lies a part of a step behind the beginning. */
-    private int count(int size, double width) {
-        double beginning = size * (1 - phase);
-        return (int) Math.max(0, Math.min(size, Math.ceil(width - (Math.ceil(beginning) - beginning))));
+    /** Returns the number of servers in a window; its start lies up to one rank before the first server. */
+    private int windowSize(int size, double width) {
+        double start = size * (1 - phase);
+        return (int) Math.max(0, Math.min(size, Math.ceil(width - (Math.ceil(start) - start))));
     }
 
-    /** Is a ready server among the first so many of its zone? */
-    boolean within(Server s, double width) {
-        RankedServers zone = s.zone.ready;
-        if (s.rankedIn != zone.changes()) {
-            s.rank = zone.rank(s);
-            s.rankedIn = zone.changes();
+    /** Returns whether a ready server is in this proxy's window of its zone. */
+    boolean isInWindow(Server server, double width) {
+        RankedServers servers = server.zone.readyServers;
+        if (server.rankVersion != servers.version()) {
+            server.rank = servers.rank(server);
+            server.rankVersion = servers.version();
         }
-        return Math.floorMod(s.rank - first(zone.size()), zone.size()) < count(zone.size(), width);
+        return Math.floorMod(server.rank - windowStart(servers.size()), servers.size())
+                < windowSize(servers.size(), width);
     }
 
-    /** The first so many of a zone or a cell, in the order of their ids. */
-    void window(RankedServers of, double width, List<Server> into) {
-        int size = of.size();
+    /** Appends this proxy's window of a zone or a cell to a list, in order of ids. */
+    void addWindow(RankedServers servers, double width, List<Server> target) {
+        int size = servers.size();
         if (size == 0) { return; }
-        int from = first(size);
-        int count = count(size, width);
-        of.copy(0, Math.max(0, from + count - size), into);
-        of.copy(from, Math.min(size, from + count), into);
+        int start = windowStart(size);
+        int count = windowSize(size, width);
+        servers.copy(0, Math.max(0, start + count - size), target);
+        servers.copy(start, Math.min(size, start + count), target);
     }
 
-    /** The first so many of each zone but one, in the order of their ids. */
-    void windows(Zone but, double width, List<Server> into) {
-        int parts = 0;
+    /** Appends this proxy's windows of all zones but one to an empty list, in order of ids. */
+    void addWindowsOfOtherZones(Zone excluded, double width, List<Server> target) {
+        int windows = 0;
         for (Zone zone : zones.values()) {
-            if (zone != but && zone.ready.size() > 0) {
-                window(zone.ready, width, into);
-                parts++;
+            if (zone != excluded && zone.readyServers.size() > 0) {
+                addWindow(zone.readyServers, width, target);
+                windows++;
             }
         }
-        if (parts > 1) { into.sort(BY_ID); }
+        if (windows > 1) { target.sort(BY_ID); }
     }
 
-    /** The first so many that share a cell with a server, in the order of their ids. */
-    void cell(Server with, double width, List<Server> into) {
-        RankedServers cell = cells.get(cell(with));
-        if (cell != null) { window(cell, width, into); }
+    /** Appends this proxy's window of the cell that a server belongs to, in order of ids. */
+    void addWindowOfCell(Server member, double width, List<Server> target) {
+        RankedServers cellServers = readyByCell.get(cellKey(member));
+        if (cellServers != null) { addWindow(cellServers, width, target); }
     }
 }
--- a/src/main/java/dewstage/Policy.java
+++ b/src/main/java/dewstage/Policy.java
@@ -9,823 +9,1048 @@
 import java.util.SplittableRandom;
 
 /**
- * The decisions, all of them. The interface (types, events, actions) is in Balancer.java; docs/DESIGN.md
- * is on "[Proposal] X-Backend-Info: backend load/state reporting header for informed load balancing".
+ * All decisions of the module. Its interface (types, events, actions) is in Balancer.java; the design follows
+ * docs/DESIGN.md, "[Proposal] X-Backend-Info: backend load/state reporting header for informed load
+ * balancing".
  *
- * <p>Ordinary path: reports become factors (capacity x spare share, low while young), requests go by smooth
- * weighted rotation over them, each less what unanswered sends and reports say of the queue. Exceptions, each
- * with its condition where it acts: own zone first, subsets (pick, subset), waiting (offer), jams (crowd),
- * ejection and trials (silent, eject), cold budget (budget), further attempts (again).
+ * <p>Normal path: load reports become factors (capacity x spare capacity, low while a server is cold), and
+ * requests are distributed by smooth weighted rotation. The weight of a server is its factor, reduced by the
+ * load that reports and own attempts in flight show. The exceptions, each documented with its condition at
+ * the method: own zone first (pick), subsets (subsetSize), queueing (trySend), zones whose servers are
+ * overloaded (updateZoneLoad), ejection and trials (isUnresponsive, eject), cold budget (hasColdBudget),
+ * admission (isThrottled, isOverInFlightLimit), requests that are too late (finishIfTooLate), order by key
+ * (isNextOfKey), further attempts (retryOrFinish).
+ *
+ * <p>All times are in ns. The averages decay exponentially; their MEMORY constants are the time constants.
  */
 public final class Policy implements Balancer {
-    /** A factor is renewed by the first report so long after the last renewal. */
-    private static final long RENEW_NS = 200_000_000L;
-    /** Weight of a new report's spare share: two reports halve the noise without doubling their lateness. */
-    private static final double SPARE_GAIN = 0.5;
-    /** No spare share under this: a server at 0 would never get the request that renews it. */
-    private static final double SPARE_FLOOR = 0.1;
-    /** So many answers tell a pace, for so long at the most; the pace of the kind counts as a few more. */
-    private static final double PACE_ANSWERS = 10, PACE_NS = 10e9, KIND_ANSWERS = 4;
-    /** Memory of what is usual: of the requests at all servers, and of the pace of a kind. */
-    private static final double USUAL_NS = 2e9, KIND_NS = 5e9;
-    /** The quickest answer of a zone is forgotten so slowly: the way there hardly ever changes. */
-    private static final double WAY_NS = 60e9;
-    /** What a report says of the others' requests fades so fast to what is usual: unheard is not empty. */
-    private static final double OTHERS_NS = 1e9, HELD_MOST = 1000; // of more in hand no report is believed
-    /** Weight of a new report in what a server can do in a second. */
-    private static final double PARALLEL_GAIN = 0.2;
-    /** Failures in a row that eject a server; one or two happen to a healthy one. */
-    private static final int EJECT_FAILURES = 4;
-    /** Never more of the ready servers than this: ejecting most of a crowded fleet drowns the rest. */
-    private static final double EJECT_MOST = 0.34;
-    /** Silent: owes answers, and gave none for so many of its usual gaps plus this share of a promise. */
-    private static final double SILENT_GAPS = 6, SILENT_PROMISE = 0.8;
-    /** Pause before the first trial of an ejected server; doubles, four times at most. */
-    private static final long TRIAL_NS = 500_000_000L;
-    /** Part of the cold budget that this proxy uses; bursts and peers that see it otherwise take the rest. */
-    private static final double COLD_SAFETY = 0.6;
-    /** Retry budget: further attempts for each first try, and the most saved up. */
-    private static final double RETRY_RATE = 0.02, RETRY_BURST = 5;
-    /**
-     * The same after a connection that broke or an answer spoilt: that tells of no load, and comes in
-     * rows.
-     */
-    private static final double RESEND_RATE = 0.3, RESEND_BURST = 10;
-    /** A server has room while the work ahead takes this share of what is left of a promise. */
-    private static final double ADMIT = 0.25;
-    /** Admission: attempts lately sent for each served, and as many more to find out; from so many lost. */
-    private static final double THROTTLE_RATIO = 1.2, THROTTLE_FLOOR = 1, THROTTLE_LOST = 0.7;
-    /** Share of the arrivals that may go out while fewer than that were served. */
-    private static final double THROTTLE_TRY = 0.3;
-    /** Step by which the median time of a class's answers follows them. */
-    private static final double MEDIAN_STEP = 0.05;
-    /** The share of a class's answers that are quick: with less time than these took, none is to be had. */
-    private static final double QUICK_SHARE = 0.1;
-    /** An answer so far over the service time, reported and median, and half the promise counts as lost. */
-    private static final double TARDY = 2;
-    /**
-     * What all proxies may have out for each unit that the servers can do, and each its equal part (a few at
-     * the least), while the median answer takes so many times what the quick ones take. Far more out makes
-     * servers slow for long.
-     */
-    private static final double UNIT_HOLDS = 3, PART_LEAST = 4, CROWDED = 4;
-    /** Servers of the own zone in the subset at the least; how often to hear of each in a promise. */
-    private static final double SUBSET_LEAST = 2, SUBSET_HEARD = 2;
-    /**
-     * A further attempt, and one for which the subset has nobody, may go to so many of each zone. As many as
-     * a small fleet has; in a large one a look at all would cost more than it finds.
-     */
-    private static final double WIDE = 256;
-    /** A report that has faded so far changes no sum any more. */
-    private static final double FADED = 1e-30;
-    /** Spreads the proxies' subsets evenly over the servers, however many of each there are. */
-    private static final double GOLDEN = 0.6180339887;
-    /** Requests that wait are looked at this often, besides at each answer. */
-    private static final long HOLD_NS = 20_000_000L;
-    /** Memory of own rates (a release must not shrink the cold budgets it needs), and how often it ages. */
-    private static final double RATE_NS = 15e9, RATE_LEAST_NS = 1e9;
-    private static final long AGE_NS = 50_000_000L;
-    /** First pause before discovery is asked again after a failure; doubles, four times at most. */
-    private static final long ASK_NS = 250_000_000L;
-    /**
-     * What a call may cost discovery: it answers some five in a second. One that serves a large fleet is
-     * quicker; all proxies have called within this share of the time for asking, however many they are. Nor
-     * may it take longer than this: 6 s after discovery can be reached what it has counts as told.
-     */
-    private static final long CALL_NS = 200_000_000L, CALLED_WITHIN_NS = 2_000_000_000L;
-    private static final double CALLED_WITHIN = 0.2;
-
-    /** The proxy's own pulse: with none for twice as long it stood still. */
-    private static final long PULSE_NS = 50_000_000L;
-
-    /** Tokens of the timers for what waits and for the pulse; those below number the calls to discovery. */
-    private static final long WAIT_TOKEN = 1L << 32, PULSE_TOKEN = WAIT_TOKEN + 1;
+    /** Minimum time between two updates of a factor by reports. */
+    private static final long FACTOR_UPDATE_INTERVAL_NS = 200_000_000L;
+    /** Weight of a new report: averaging over two halves the noise without doubling the delay. */
+    private static final double REPORT_GAIN = 0.5;
+    /**
+     * Lower limit of the spare fraction: a server at 0 would never get the request that brings a new report.
+     */
+    private static final double MIN_SPARE_FRACTION = 0.1;
+    /** Maximum number of answers that the service time of a server is averaged over. */
+    private static final double SERVICE_TIME_ANSWERS = 10;
+    /** Memory of the service time of a server. */
+    private static final double SERVICE_TIME_MEMORY_NS = 10e9;
+    /** Number of answers that the service time of the kind counts for in that of a server. */
+    private static final double KIND_ANSWERS = 4;
+    /** Memory of the average load of a zone, and of the counts of arrivals, sends and their results. */
+    private static final double LOAD_MEMORY_NS = 2e9;
+    /** Memory of the service time of a kind; the average load of a zone decays towards idle with the same. */
+    private static final double KIND_MEMORY_NS = 5e9;
+    /** Memory of the shortest response time of a zone: long, because network latency hardly ever changes. */
+    private static final double LATENCY_MEMORY_NS = 60e9;
+    /**
+     * Memory of the reported load from other proxies. It decays towards the average of the zone, not to zero:
+     * a server without recent reports is not idle.
+     */
+    private static final double REPORT_MEMORY_NS = 1e9;
+    /** A report of this many requests in flight or more is ignored as implausible. */
+    private static final double MAX_REPORTED_IN_FLIGHT = 1000;
+    /** Weight of a new report in the throughput and the utilization that parallelism is computed from. */
+    private static final double PARALLELISM_GAIN = 0.2;
+    /** Failures in a row that eject a server; one or two also happen to a healthy server. */
+    private static final int EJECTION_FAILURES = 4;
+    /**
+     * Maximum fraction of the ready servers to eject: ejecting most of an overloaded fleet overloads the
+     * rest.
+     */
+    private static final double MAX_EJECTED_FRACTION = 0.34;
+    /** Number of expected gaps between its answers after which a server counts as unresponsive. */
+    private static final double UNRESPONSIVE_GAPS = 6;
+    /** Fraction of the shortest promise that is added to these gaps. */
+    private static final double UNRESPONSIVE_PROMISE_FRACTION = 0.8;
+    /**
+     * Delay before the first trial of an ejected server; doubles with each failed trial up to 4 times this.
+     */
+    private static final long FIRST_TRIAL_DELAY_NS = 500_000_000L;
+    /**
+     * Fraction of the cold budget that this proxy uses; the rest is for bursts and for peers with a different
+     * view.
+     */
+    private static final double COLD_BUDGET_FRACTION = 0.6;
+    /** Retry budget: further attempts earned by each request. */
+    private static final double RETRIES_PER_REQUEST = 0.02;
+    /** Maximum number of further attempts that the retry budget saves up. */
+    private static final double MAX_RETRY_BUDGET = 5;
+    /**
+     * Further attempts after a broken connection or a corrupted answer, earned by each request. These
+     * failures do not indicate load, and they come in series.
+     */
+    private static final double RESENDS_PER_REQUEST = 0.3;
+    /** Maximum number of these attempts that are saved up. */
+    private static final double MAX_RESEND_BUDGET = 10;
+    /**
+     * A server has capacity while the work ahead takes at most this fraction of the time left to the target.
+     */
+    private static final double MAX_WORK_AHEAD_FRACTION = 0.25;
+    /** Admission: maximum recent sends per served request while sends are being lost. */
+    private static final double MAX_SENDS_PER_SERVED = 1.2;
+    /** Admission: minimum number of additional sends, which show whether servers serve again. */
+    private static final double MIN_EXTRA_SENDS = 1;
+    /** Admission: the limit applies from this number of recently lost sends. */
+    private static final double MIN_LOST_TO_THROTTLE = 0.7;
+    /** Admission: fraction of the arrivals that may be sent while fewer than that were served. */
+    private static final double THROTTLED_SEND_FRACTION = 0.3;
+    /** Relative step by which the quantile estimates of response times follow each answer. */
+    private static final double QUANTILE_STEP = 0.05;
+    /** Quantile of a class's response times that counts as quick: hardly any answer arrives in less time. */
+    private static final double QUICK_QUANTILE = 0.1;
+    /**
+     * An answer counts as lost if it took longer than half the promise and than this multiple of both the
+     * median response time and the service time that the server reports.
+     */
+    private static final double LATE_MULTIPLE = 2;
+    /**
+     * Attempts that all proxies together may have in flight per capacity unit of the servers while responses
+     * are slow; each proxy has an equal share. Far more in flight would keep the servers slow for long.
+     */
+    private static final double IN_FLIGHT_PER_UNIT = 3;
+    /** Minimum share of one proxy in that limit. */
+    private static final double MIN_IN_FLIGHT_LIMIT = 4;
+    /** Responses are slow if the median takes this many times as long as the quick ones. */
+    private static final double SLOW_MULTIPLE = 4;
+    /** Minimum number of own-zone servers in the subset, and of proxies whose subset contains a server. */
+    private static final double MIN_SUBSET_SIZE = 2;
+    /** Number of load reports to receive from each server of the subset during the shortest promise. */
+    private static final double REPORTS_PER_PROMISE = 2;
+    /**
+     * Window size in each zone for a further attempt, and for a request whose subset contains no eligible
+     * server. Covers a small fleet whole; in a large one a scan of all servers would cost more than it gains.
+     */
+    private static final double WIDE_WINDOW = 256;
+    /** Freshness below which a report no longer changes any sum. */
+    private static final double MIN_FRESHNESS = 1e-30;
+    /**
+     * Golden ratio less 1: its multiples spread the subsets evenly over the servers, whatever their numbers.
+     */
+    private static final double GOLDEN_RATIO = 0.6180339887;
+    /** Interval at which queued requests are checked, in addition to the check after each outcome. */
+    private static final long WAITING_CHECK_INTERVAL_NS = 20_000_000L;
+    /** Memory of the send rate per zone: a rolling release must not shrink the cold budgets that it needs. */
+    private static final double SEND_RATE_MEMORY_NS = 15e9;
+    /** Minimum time that the send rate is computed over after a start of this proxy. */
+    private static final double MIN_SEND_RATE_PERIOD_NS = 1e9;
+    /** Minimum interval between two decays of the averages. */
+    private static final long DECAY_INTERVAL_NS = 50_000_000L;
+    /** Delay before the first repeat of a failed call to discovery; doubles up to 4 times this. */
+    private static final long FIRST_CALL_RETRY_NS = 250_000_000L;
+    /**
+     * Time for which one call occupies discovery, which answers about five per second. A discovery that
+     * serves a large fleet is quicker, so the two limits below hold however many proxies there are.
+     */
+    private static final long CALL_COST_NS = 200_000_000L;
+    /**
+     * Maximum time over which the calls of all proxies are spread: 6 s after discovery can be reached, a
+     * proxy counts as notified of its changes.
+     */
+    private static final long MAX_CALL_SPREAD_NS = 2_000_000_000L;
+    /** Maximum of the same time as a fraction of the time for asking (settings key ask_within_ns). */
+    private static final double CALL_SPREAD_FRACTION = 0.2;
+
+    /**
+     * Interval of the proxy's own heartbeat; an event gap of more than twice this means that it was paused.
+     */
+    private static final long HEARTBEAT_INTERVAL_NS = 50_000_000L;
+
+    /** Timer token of the check of queued requests; lower tokens are the numbers of calls to discovery. */
+    private static final long WAITING_TOKEN = 1L << 32;
+    /** Timer token of the heartbeat. */
+    private static final long HEARTBEAT_TOKEN = WAITING_TOKEN + 1;
 
     private final Settings settings;
-    private final Actions out;
+    private final Actions actions;
     private final SplittableRandom random;
     private final Fleet fleet;
-    /** Those whose last report has not faded, and those that started a moment ago. */
-    private final List<Server> recent = new ArrayList<>();
-    private final IntMap<PendingRequest> tickets = new IntMap<>();
-    private final Map<Long, KeyQueue> turns = new HashMap<>();
-    /** Requests that wait here, those worth most first. */
+    /** Servers with hasRecentReport: a recent start counts as a report. */
+    private final List<Server> recentlyReported = new ArrayList<>();
+    private final IntMap<PendingRequest> pendingByTicket = new IntMap<>();
+    private final Map<Long, KeyQueue> keyQueues = new HashMap<>();
+    /** Queued requests in descending order of worth; of equal worth the newest first. */
     private final List<PendingRequest> waiting = new ArrayList<>();
     private final Map<Integer, Kind> kinds = new HashMap<>();
-    private final Zone home;
-    private final Side near = new Side(), far = new Side();
-    private final double[] median, quick;
-    private final long[] mostLeft;
+    private final Zone ownZone;
+    private final Candidates ownCandidates = new Candidates();
+    private final Candidates otherCandidates = new Candidates();
+    /** Estimated median response time by class, in ns; 0 before the first answer. */
+    private final double[] medianResponseNs;
+    /** Estimated QUICK_QUANTILE of the response time by class, in ns; 0 before the first answer. */
+    private final double[] quickResponseNs;
+    /** Longest time until the client gives up with which a request has arrived, by class, in ns. */
+    private final long[] maxTimeLeftNs;
     private final double meanWorth;
-    private final long minPromise;
-    private double arrivals, sent, good, lost, parallel = 1, leastService, retries = RETRY_BURST / 2;
-    private double resends = RESEND_BURST / 2;
-    private final long startedAt;
-    private long agedAt, heardAt, wokeAt = Long.MIN_VALUE, askPause = ASK_NS;
-    /** This proxy's equal part of what the servers can hold, and what it has out. */
-    private double part = Double.MAX_VALUE;
-    private int allOut, asked;
-    /** The class of which the last offer found no room. */
-    private Profile full;
-    private boolean armed;
-
-    /** What is known of a kind of server: the time of a request when warm, and when an answer last told. */
+    /** The shortest promise of all classes. */
+    private final long minPromiseNs;
+    /** Decayed number of requests that arrived. */
+    private double recentArrivals;
+    /** Decayed number of attempts sent, without those whose failure does not indicate load. */
+    private double recentSends;
+    /** Decayed number of attempts served in time. */
+    private double recentServed;
+    /** Decayed number of attempts lost to load: rejected, timed out, cancelled or far too late. */
+    private double recentLost;
+    /** Average parallelism of the servers. */
+    private double meanParallelism = 1;
+    /** Shortest service time of the candidates of the last pick; MAX_VALUE if there were none. */
+    private double minServiceTimeNs;
+    /** Further attempts that the retry budget allows now. */
+    private double retryBudget = MAX_RETRY_BUDGET / 2;
+    /** Further attempts after broken connections that are allowed now. */
+    private double resendBudget = MAX_RESEND_BUDGET / 2;
+    private final long startedAtNs;
+    /** When the averages last decayed. */
+    private long decayedAtNs;
+    /** When the last outcome, request or timer arrived. */
+    private long lastEventAtNs;
+    /** When this proxy last resumed after a pause. */
+    private long resumedAtNs = Long.MIN_VALUE;
+    private long callRetryDelayNs = FIRST_CALL_RETRY_NS;
+    /** Attempts that this proxy may have in flight while responses are slow. */
+    private double inFlightLimit = Double.MAX_VALUE;
+    /** Attempts of this proxy in flight at all servers. */
+    private int totalInFlight;
+    /** Number of the current call to discovery, and token of its timer. */
+    private int callNumber;
+    /** Class of the last request that found no server with capacity. */
+    private Profile profileWithoutCapacity;
+    private boolean isWaitingTimerArmed;
+
+    /** Estimates for one kind of server. */
     private final class Kind {
-        double pace = minPromise / 6.0; // a guess, soon forgotten
-        long learntAt = startedAt;
+        /** Service time of a warm server; the initial value is soon replaced by measurements. */
+        double serviceTimeNs = minPromiseNs / 6.0;
+        long lastAnswerAtNs = startedAtNs;
     }
 
-    /** The own zone's rotation, or that of the others, as weighed for one request. */
-    private static final class Side {
-        /** Sums of weights, of weights x expected times, and of the weights of those with room. */
-        double weights, times, open;
-        /** Those looked at, and those of them that have room. */
-        final List<Server> looked = new ArrayList<>(), roomy = new ArrayList<>();
+    /** The servers of the own zone, or of all other zones, that one request may be sent to. */
+    private static final class Candidates {
+        /** Sum of the weights of all candidates. */
+        double totalWeight;
+        /** Sum of their weights times expected response times in ns. */
+        double weightedTimesNs;
+        /** Sum of the weights of the candidates with capacity. */
+        double openWeight;
+        /** Servers in the windows, eligible or not. */
+        final List<Server> considered = new ArrayList<>();
+        /** Eligible servers with capacity. */
+        final List<Server> withCapacity = new ArrayList<>();
     }
 
-    public Policy(Settings settings, long seed, long now, Actions out) {
+    public Policy(Settings settings, long seed, long now, Actions actions) {
         this.settings = settings;
-        this.out = out;
+        this.actions = actions;
         this.random = new SplittableRandom(seed);
-        this.fleet = new Fleet(settings.me() * GOLDEN, settings.profiles().stream()
-                .anyMatch(p -> p.effect() == Effect.DEDUPLICATED && p.scope() == Scope.CELL), now);
-        this.home = fleet.zone(settings.zone());
-        this.minPromise = settings.profiles().stream().mapToLong(Profile::promiseNs).min().orElse(0);
+        this.fleet = new Fleet(settings.me() * GOLDEN_RATIO, settings.profiles().stream().anyMatch(
+                profile -> profile.effect() == Effect.DEDUPLICATED && profile.scope() == Scope.CELL), now);
+        this.ownZone = fleet.zone(settings.zone());
+        this.minPromiseNs = settings.profiles().stream().mapToLong(Profile::promiseNs).min().orElse(0);
         this.meanWorth = settings.profiles().stream().mapToDouble(Profile::worth).average().orElse(1);
-        this.median = new double[settings.profiles().size()];
-        this.quick = new double[median.length];
-        this.mostLeft = new long[median.length];
-        this.startedAt = now;
-        this.agedAt = now;
-        this.heardAt = now;
-        out.timer(now + PULSE_NS, PULSE_TOKEN);
-        if (settings.askForList()) { ask(now); }
+        this.medianResponseNs = new double[settings.profiles().size()];
+        this.quickResponseNs = new double[medianResponseNs.length];
+        this.maxTimeLeftNs = new long[medianResponseNs.length];
+        this.startedAtNs = now;
+        this.decayedAtNs = now;
+        this.lastEventAtNs = now;
+        actions.timer(now + HEARTBEAT_INTERVAL_NS, HEARTBEAT_TOKEN);
+        if (settings.askForList()) { callDiscovery(now); }
     }
 
     // ---- discovery ----
 
-    private void ask(long now) {
-        out.subscribe(true);
-        out.timer(now + settings.askWithinNs() / 2, ++asked); // well before an unheard list would bind it
+    private void callDiscovery(long now) {
+        actions.subscribe(true);
+        // Repeated well before a list that did not arrive would count as received.
+        actions.timer(now + settings.askWithinNs() / 2, ++callNumber);
     }
 
     @Override
     public void onMembers(long now, ListKind kind, long version, List<Member> members) {
         if (kind == ListKind.FAILED) {
-            // A failure may mean a broken subscription, of all proxies at once. Jitter keeps them from asking
-            // in step: they spread over the time in which discovery can answer as many, for it works through
-            // calls that nobody waits for any more, too, and then no call is answered in time.
-            long spread = Math.max(askPause, Math.min(settings.balancers() * CALL_NS,
-                    Math.min(CALLED_WITHIN_NS, (long) (settings.askWithinNs() * CALLED_WITHIN))));
-            out.timer(now + askPause / 2 + (long) (spread * random.nextDouble()), ++asked);
-            askPause = Math.min(askPause * 2, 4 * ASK_NS);
+            // The subscriptions of all proxies may have failed at once. Jitter spreads their calls over the
+            // time in which discovery can answer them all. It also processes calls whose caller no longer
+            // waits, so calls sent at the same time would all be answered too late.
+            long spreadNs = Math.max(callRetryDelayNs, Math.min(settings.balancers() * CALL_COST_NS,
+                    Math.min(MAX_CALL_SPREAD_NS, (long) (settings.askWithinNs() * CALL_SPREAD_FRACTION))));
+            actions.timer(now + callRetryDelayNs / 2 + (long) (spreadNs * random.nextDouble()), ++callNumber);
+            callRetryDelayNs = Math.min(callRetryDelayNs * 2, 4 * FIRST_CALL_RETRY_NS);
             return;
         }
         if (kind != ListKind.CACHED) {
-            asked++; // the call is answered: its timer is void
-            askPause = ASK_NS;
+            callNumber++; // the call is answered: invalidates its timer
+            callRetryDelayNs = FIRST_CALL_RETRY_NS;
         }
-        fleet.begin();
-        for (Member m : members) {
-            Server s = fleet.get(m.id());
-            if (s == null || m.bootNs() > s.bootNs) { s = started(m, now); }
-            fleet.list(s, m);
+        fleet.beginList();
+        for (Member entry : members) {
+            Server server = fleet.get(entry.id());
+            if (server == null || entry.bootNs() > server.bootNs) { server = registerStarted(entry, now); }
+            fleet.applyEntry(server, entry);
         }
-        fleet.end(kind != ListKind.DELTA);
+        fleet.endList(kind != ListKind.DELTA);
     }
 
-    /** A server is new or has started anew: nothing learnt of an old process holds. */
-    private Server started(Member m, long now) {
-        Server s = new Server(m, kind(m).pace, parallel, now); // it needs what its kind needs
-        fleet.start(s, warmth(s, now) >= 1);
-        s.recent = true;
-        recent.add(s);
-        renew(s, now);
-        // Proxies that hear of a server in one moment must not all turn to it at once: a phase of its own in
-        // the rotation, and part of a token, so that their first requests are spread as their later ones.
-        s.tokens = random.nextDouble();
-        s.tally = -random.nextDouble();
-        return s;
+    /** Adds a server that is new or has restarted; nothing learned about its old process applies any more. */
+    private Server registerStarted(Member entry, long now) {
+        Server server = new Server(entry, kindOf(entry).serviceTimeNs, meanParallelism, now);
+        fleet.addStarted(server, warmFraction(server, now) >= 1);
+        server.hasRecentReport = true;
+        recentlyReported.add(server);
+        updateFactor(server, now);
+        // Proxies that are notified of a server at the same time must not all send to it at once. A random
+        // position in the rotation and a random part of a token spread their first requests.
+        server.coldTokens = random.nextDouble();
+        server.rotationCredit = -random.nextDouble();
+        return server;
     }
 
     // ---- factors ----
 
-    private Kind kind(Member m) {
-        return kinds.computeIfAbsent(m.kind(), k -> new Kind());
+    private Kind kindOf(Member entry) {
+        return kinds.computeIfAbsent(entry.kind(), id -> new Kind());
     }
 
-    /** The others' requests at a server, as far as is known. */
-    private double others(Server s) {
-        return s.recent ? s.others : s.zone.unheard;
+    /** Returns the estimated load from other proxies at a server, in units of parallelism. */
+    private double otherLoad(Server server) {
+        return server.hasRecentReport ? server.otherLoad : server.zone.assumedOtherLoad;
     }
 
-    /** All requests there, in those that run side by side. */
-    private double load(Server s) {
-        return s.out / s.parallel + others(s);
+    /** Returns the estimated load from all proxies at a server, in units of parallelism. */
+    private double load(Server server) {
+        return server.inFlight / server.parallelism + otherLoad(server);
     }
 
-    /** Share of its capacity that a server surely has by now; 1 when warm. */
-    private double warmth(Server s, long now) {
-        double age = (now - s.bootNs) / (double) settings.coldNs();
-        return s.bootNs <= 0 || age >= 1 ? 1
-                : settings.startCapacity() + (1 - settings.startCapacity()) * Math.max(0, age);
+    /**
+     * Returns the fraction of its capacity that a server is certain to have during slow start; 1 when warm.
+     */
+    private double warmFraction(Server server, long now) {
+        double coldFraction = (now - server.bootNs) / (double) settings.coldNs();
+        return server.bootNs <= 0 || coldFraction >= 1 ? 1
+                : settings.startCapacity() + (1 - settings.startCapacity()) * Math.max(0, coldFraction);
     }
 
-    private void report(Server s, long now, Report r) {
-        if (r == null) { return; }
-        s.blind = !Double.isFinite(r.inflight());
-        double held = Double.isFinite(r.inflight()) ? r.inflight() : r.queue();
-        // Answers repeat a report until the next is made; of two the util differs, also where both held none.
-        if (held >= 0 && held < HELD_MOST && (held != s.held || r.util() != s.util)) {
-            s.held = held;
-            s.util = r.util();
-            double others = Math.max(0, held - s.out) / s.parallel;
-            s.heard += SPARE_GAIN * (others - s.heard);
-            s.others = s.heard;
-            s.fresh = 1;
-            if (!s.recent) {
-                s.recent = true;
-                recent.add(s);
+    private void applyReport(Server server, long now, Report report) {
+        if (report == null) { return; }
+        server.lacksInFlightReport = !Double.isFinite(report.inflight());
+        double reported = Double.isFinite(report.inflight()) ? report.inflight() : report.queue();
+        // Answers repeat the last report until a new one is made. A new one differs in utilization even if
+        // the number in flight is the same, for example zero.
+        if (reported >= 0 && reported < MAX_REPORTED_IN_FLIGHT
+                && (reported != server.lastInFlight || report.util() != server.lastUtilization)) {
+            server.lastInFlight = reported;
+            server.lastUtilization = report.util();
+            double otherLoad = Math.max(0, reported - server.inFlight) / server.parallelism;
+            server.reportedOtherLoad += REPORT_GAIN * (otherLoad - server.reportedOtherLoad);
+            server.otherLoad = server.reportedOtherLoad;
+            server.freshness = 1;
+            if (!server.hasRecentReport) {
+                server.hasRecentReport = true;
+                recentlyReported.add(server);
             }
-            crowd(s.zone, others, now);
-        }
-        if (r.perSecond() > 0 && r.util() > 0 && r.perSecond() != s.told) {
-            // What it does in a second over its busy share is what it can do, whatever its requests wait for.
-            s.told = r.perSecond();
-            s.rate += PARALLEL_GAIN * (r.perSecond() - s.rate);
-            s.busy += PARALLEL_GAIN * (Math.min(1, r.util()) - s.busy);
-            s.parallel = Math.max(1, s.rate / s.busy * s.pace / 1e9);
-            parallel += PARALLEL_GAIN * (s.parallel - parallel);
-        }
-        if (now - s.renewedAt >= RENEW_NS) {
-            if (Double.isFinite(r.util())) {
-                s.spare += SPARE_GAIN * (1 - Math.max(0, Math.min(1, r.util())) - s.spare);
+            updateZoneLoad(server.zone, otherLoad, now);
+        }
+        if (report.perSecond() > 0 && report.util() > 0 && report.perSecond() != server.lastThroughput) {
+            // Throughput divided by utilization is the capacity in requests per second, including the time
+            // that requests wait for something else; multiplied by the service time it is the parallelism.
+            server.lastThroughput = report.perSecond();
+            server.throughput += PARALLELISM_GAIN * (report.perSecond() - server.throughput);
+            server.utilization += PARALLELISM_GAIN * (Math.min(1, report.util()) - server.utilization);
+            server.parallelism =
+                    Math.max(1, server.throughput / server.utilization * server.serviceTimeNs / 1e9);
+            meanParallelism += PARALLELISM_GAIN * (server.parallelism - meanParallelism);
+        }
+        if (now - server.factorUpdatedAtNs >= FACTOR_UPDATE_INTERVAL_NS) {
+            if (Double.isFinite(report.util())) {
+                server.spareFraction +=
+                        REPORT_GAIN * (1 - Math.max(0, Math.min(1, report.util())) - server.spareFraction);
             }
-            renew(s, now);
+            updateFactor(server, now);
         }
     }
 
-    /** Usual in a zone: the mean share a further request would get, which a few long queues hardly move. */
-    private void crowd(Zone z, double others, long now) {
-        z.usual += (1 - Math.exp((z.usualAt - now) / USUAL_NS)) * (1 / (1 + others) - z.usual);
-        z.usualAt = now;
+    /**
+     * Updates the average load of a zone. It averages the share of a server that one more request would get,
+     * which a few long queues hardly change.
+     */
+    private void updateZoneLoad(Zone zone, double otherLoad, long now) {
+        zone.averageShare += (1 - Math.exp((zone.averageShareUpdatedAtNs - now) / LOAD_MEMORY_NS))
+                * (1 / (1 + otherLoad) - zone.averageShare);
+        zone.averageShareUpdatedAtNs = now;
     }
 
-    /** The design's formula: low while young, else capacity times spare share. */
-    private void renew(Server s, long now) {
-        s.renewedAt = now;
-        s.factor = minPromise / s.pace * s.parallel * Math.max(SPARE_FLOOR, s.spare) * warmth(s, now);
+    /** Computes the factor by the formula of the design: capacity x spare fraction, lower while cold. */
+    private void updateFactor(Server server, long now) {
+        server.factorUpdatedAtNs = now;
+        server.factor = minPromiseNs / server.serviceTimeNs * server.parallelism
+                * Math.max(MIN_SPARE_FRACTION, server.spareFraction) * warmFraction(server, now);
     }
 
-    /** The factor, less what waits there: as a fourth power, to level the queues and not the rates. */
-    private static double weight(Server s, double load) {
-        double wait = 1 + load;
-        return s.factor / (wait * wait * wait * wait);
+    /**
+     * Returns the factor divided by the fourth power of the load plus one: a power that high balances queue
+     * lengths rather than request rates.
+     */
+    private static double weight(Server server, double load) {
+        double occupancy = 1 + load;
+        return server.factor / (occupancy * occupancy * occupancy * occupancy);
     }
 
-    /** Owes answers and gives none: told from a slow one by the gaps between its answers, to any request. */
-    private boolean silent(Server s, long now) {
-        return s.out > 0 && now - Math.max(s.owedSince, wokeAt) > minPromise * SILENT_PROMISE + s.zone.way
-                + SILENT_GAPS * s.pace * (1 + others(s) / s.out);
+    /**
+     * Returns whether a server has attempts in flight and stopped answering. The gaps between its answers to
+     * any request distinguish it from a slow server.
+     */
+    private boolean isUnresponsive(Server server, long now) {
+        return server.inFlight > 0 && now - Math.max(server.awaitingSinceNs, resumedAtNs)
+                > minPromiseNs * UNRESPONSIVE_PROMISE_FRACTION + server.zone.networkLatencyNs
+                + UNRESPONSIVE_GAPS * server.serviceTimeNs * (1 + otherLoad(server) / server.inFlight);
     }
 
-    private void eject(Server s, long now) {
-        if (s.ejected || fleet.ejected() + 1 <= fleet.ready() * EJECT_MOST) {
-            s.trialPause = s.ejected ? Math.min(s.trialPause * 2, 4 * TRIAL_NS) : TRIAL_NS;
-            s.trialAt = now + s.trialPause;
-            fleet.eject(s, true);
+    /** Ejects a server, or delays the next trial of an ejected one. Does nothing if too many are ejected. */
+    private void eject(Server server, long now) {
+        if (server.isEjected || fleet.ejectedCount() + 1 <= fleet.readyCount() * MAX_EJECTED_FRACTION) {
+            server.trialDelayNs = server.isEjected
+                    ? Math.min(server.trialDelayNs * 2, 4 * FIRST_TRIAL_DELAY_NS) : FIRST_TRIAL_DELAY_NS;
+            server.nextTrialAtNs = now + server.trialDelayNs;
+            fleet.setEjected(server, true);
         }
     }
 
     /**
-     * Ejects a silent server with a trial due at once: one answer lost on its way looks like silence at a
-     * server that owes no other. Only a trial that is not answered either tells them apart: then come pauses.
+     * Ejects an unresponsive server with a trial due at once. If its only attempt in flight lost its answer
+     * on the network, the server looks unresponsive but is healthy; delays between trials begin only if the
+     * trial is not answered either.
      */
-    private void doubt(Server s, long now) {
-        eject(s, now);
-        s.trialAt = now;
-        s.trialPause = TRIAL_NS / 2; // the trial doubles it
+    private void ejectWithImmediateTrial(Server server, long now) {
+        eject(server, now);
+        server.nextTrialAtNs = now;
+        server.trialDelayNs = FIRST_TRIAL_DELAY_NS / 2; // the trial doubles it
     }
 
     /**
-     * Cold budget, a token bucket. Its rate is what this proxy sent to the average server of that zone, for
-     * as many as its subset leaves to it, times the multiple and the warmth: if every peer does the same, all
-     * together stay under the multiple of what the server can do, however unevenly the traffic falls on them.
-     * Less where the server reports itself busy: something else may hold down what it can do while cold.
+     * Returns whether a server is warm or its cold budget, a token bucket, allows one more request. The
+     * bucket is filled at the rate at which this proxy sends to an average server of its subset in that zone,
+     * times the tip multiple (settings key tip_multiple) and the warm fraction. If every proxy does the same,
+     * all together stay below that multiple of the server's capacity, however unevenly the traffic is
+     * distributed over the proxies. It is filled more slowly while the server reports high utilization,
+     * because something else may then limit its capacity.
      */
-    private boolean budget(Server s, long now) {
-        double warmth = warmth(s, now);
-        if (warmth >= 1) { return true; }
-        // A proxy that has just started remembers no more than its own age: its rate is not lower for that.
-        double remembered = RATE_NS * (1 - Math.exp(-Math.max(RATE_LEAST_NS, now - startedAt) / RATE_NS));
-        double mine = s.zone.rate / remembered * Math.max(1, s.zone.ready.size() / subset());
-        double idle = Math.min(1, 2 * Math.max(SPARE_FLOOR, s.spare));
-        double rate = COLD_SAFETY * idle * Math.max(mine * settings.tipMultiple() * warmth,
-                1.0 / settings.fallNs() / Math.max(1, settings.balancers()));
-        s.tokens = Math.min(Math.max(1, rate * settings.fallNs() / 2), s.tokens + rate * (now - s.tokensAt));
-        s.tokensAt = now;
-        return s.tokens >= 1;
+    private boolean hasColdBudget(Server server, long now) {
+        double warmFraction = warmFraction(server, now);
+        if (warmFraction >= 1) { return true; }
+        // The memory of a proxy that has just started is its own age; that must not make the rate look lower.
+        double memoryNs = SEND_RATE_MEMORY_NS
+                * (1 - Math.exp(-Math.max(MIN_SEND_RATE_PERIOD_NS, now - startedAtNs) / SEND_RATE_MEMORY_NS));
+        double ownSendsPerNs = server.zone.sendsPerServer / memoryNs
+                * Math.max(1, server.zone.readyServers.size() / subsetSize());
+        double idleFraction = Math.min(1, 2 * Math.max(MIN_SPARE_FRACTION, server.spareFraction));
+        double tokensPerNs = COLD_BUDGET_FRACTION * idleFraction
+                * Math.max(ownSendsPerNs * settings.tipMultiple() * warmFraction,
+                        1.0 / settings.fallNs() / Math.max(1, settings.balancers()));
+        server.coldTokens = Math.min(Math.max(1, tokensPerNs * settings.fallNs() / 2),
+                server.coldTokens + tokensPerNs * (now - server.coldTokensUpdatedAtNs));
+        server.coldTokensUpdatedAtNs = now;
+        return server.coldTokens >= 1;
     }
 
-    /** Subsetting: the servers of a zone that can each be heard of within a promise, and none left out. */
-    private double subset() {
-        double heard = arrivals * minPromise / USUAL_NS / SUBSET_HEARD;
-        return Math.max(heard, SUBSET_LEAST * Math.max(1, fleet.size() / (double) settings.balancers()));
+    /**
+     * Returns the number of servers of a zone in this proxy's subset: as many as can each return enough
+     * reports within the shortest promise, but enough that the subsets of all proxies together leave no
+     * server out.
+     */
+    private double subsetSize() {
+        double reportingServers = recentArrivals * minPromiseNs / LOAD_MEMORY_NS / REPORTS_PER_PROMISE;
+        return Math.max(reportingServers,
+                MIN_SUBSET_SIZE * Math.max(1, fleet.size() / (double) settings.balancers()));
     }
 
-    /** The first attempt that may have run: it binds all further ones. Null if none may have. */
-    private Attempt bound(PendingRequest t) {
-        for (Attempt a : t.attempts) {
-            boolean never = a.ended != null && a.ended.neverRan
-                    && !(a.ended == Status.FULL && settings.fullIsNoProof());
-            if (!never) { return a; }
+    /**
+     * Returns the first attempt that may have run, which restricts all further ones, or null if none may
+     * have.
+     */
+    private Attempt bindingAttempt(PendingRequest pending) {
+        for (Attempt attempt : pending.attempts) {
+            boolean certainlyNeverRan = attempt.endStatus != null && attempt.endStatus.neverRan
+                    && !(attempt.endStatus == Status.FULL && settings.fullIsNoProof());
+            if (!certainlyNeverRan) { return attempt; }
         }
         return null;
     }
 
-    /** May this server get this request? A repeat of what may have run stays where repeats are dropped. */
-    private boolean fit(Server s, PendingRequest t, Attempt bound, long now) {
-        if (!s.ready() || !budget(s, now)) { return false; }
-        for (Attempt a : t.attempts) {
-            if (a.to.id == s.id) { return false; }
+    /**
+     * Returns whether a request may be sent to a server. No server gets a request twice, and a repeat of an
+     * attempt that may have run stays within the scope in which servers drop repeats.
+     */
+    private boolean isEligible(Server server, PendingRequest pending, Attempt binding, long now) {
+        if (!server.isReady() || !hasColdBudget(server, now)) { return false; }
+        for (Attempt attempt : pending.attempts) {
+            if (attempt.sentTo.id == server.id) { return false; }
         }
-        return !tied(t, bound) || s.zone == bound.to.zone
-                && (t.profile.scope() == Scope.ZONE || s.listed.cell() == bound.to.listed.cell());
+        return !isBoundToScope(pending, binding) || server.zone == binding.sentTo.zone
+                && (pending.profile.scope() == Scope.ZONE
+                || server.listEntry.cell() == binding.sentTo.listEntry.cell());
     }
 
-    /** Smooth weighted rotation over the factors of the fit servers; null if there is none. */
-    private Server pick(PendingRequest t, long now) {
-        Server s = pick(t, t.attempts.size() > 0, now);
-        return s == null && leastService == Double.MAX_VALUE ? pick(t, true, now) : s;
+    /**
+     * Returns the server for the next attempt of a request by smooth weighted rotation, or null if none has
+     * capacity. A request whose subset has no candidate gets a wide window.
+     */
+    private Server pick(PendingRequest pending, long now) {
+        Server server = pick(pending, pending.attempts.size() > 0, now);
+        return server == null && minServiceTimeNs == Double.MAX_VALUE ? pick(pending, true, now) : server;
     }
 
-    private Server pick(PendingRequest t, boolean wide, long now) {
-        Attempt bound = bound(t);
-        Server trial = trial(t, bound, wide, now);
+    private Server pick(PendingRequest pending, boolean isWide, long now) {
+        Attempt binding = bindingAttempt(pending);
+        Server trial = ejectAndFindTrial(pending, binding, isWide, now);
         if (trial != null) { return trial; }
-        leastService = Double.MAX_VALUE;
-        weigh(near, t, bound, wide, now);
-        // Own zone first: crossing must save more worth than it costs. Where the own zone has no room
-        // it does: the request would wait here, and be refused in the end, while others stand idle.
-        // What could not save so much if the other zones missed nothing needs no look at them.
-        boolean cross = near.open == 0 || missed(near, t, now) > settings.crossZonePrice();
-        if (cross) {
-            weigh(far, t, bound, wide, now);
-            cross = near.open == 0
-                    || missed(near, t, now) - missed(far, t, now) > settings.crossZonePrice();
-        }
-        // Tallies count in requests: a debt must not outlast weights that change a hundredfold in a second.
-        double total = near.open + (cross ? far.open : 0);
-        Server best = rotate(near, total, null);
-        best = cross ? rotate(far, total, best) : best;
-        if (best != null) { best.tally--; }
+        minServiceTimeNs = Double.MAX_VALUE;
+        weighCandidates(ownCandidates, pending, binding, isWide, now);
+        // Own zone first: leaving it must save more worth than it costs. If no server of the own zone has
+        // capacity it always does, because the request would wait here and finally be refused while other
+        // servers are idle. The other zones are not scanned if even a zone that always answers in time could
+        // not save that much.
+        boolean usesOtherZones = ownCandidates.openWeight == 0
+                || expectedLoss(ownCandidates, pending, now) > settings.crossZonePrice();
+        if (usesOtherZones) {
+            weighCandidates(otherCandidates, pending, binding, isWide, now);
+            usesOtherZones = ownCandidates.openWeight == 0
+                    || expectedLoss(ownCandidates, pending, now) - expectedLoss(otherCandidates, pending, now)
+                    > settings.crossZonePrice();
+        }
+        // Credits are in requests, not in weights: a debt must not outlast weights that change by a factor of
+        // a hundred within a second.
+        double totalOpenWeight = ownCandidates.openWeight + (usesOtherZones ? otherCandidates.openWeight : 0);
+        Server best = advanceRotation(ownCandidates, totalOpenWeight, null);
+        best = usesOtherZones ? advanceRotation(otherCandidates, totalOpenWeight, best) : best;
+        if (best != null) { best.rotationCredit--; }
         return best;
     }
 
-    /** How many of a zone a request may go to; of another zone one fewer. */
-    private double width(boolean own, boolean wide) {
-        return wide ? Math.max(WIDE, subset()) : subset() - (own ? 0 : 1);
+    /** Returns the number of servers of a zone that a request may be sent to; of another zone one fewer. */
+    private double windowWidth(boolean isOwnZone, boolean isWide) {
+        return isWide ? Math.max(WIDE_WINDOW, subsetSize()) : subsetSize() - (isOwnZone ? 0 : 1);
     }
 
-    /** May a repeat of what may have run go to this zone alone, or to one cell of it? */
-    private static boolean tied(PendingRequest t, Attempt bound) {
-        return bound != null && t.profile.effect() == Effect.DEDUPLICATED && t.profile.scope() != Scope.ALL;
+    /**
+     * Returns whether the next attempt may go to one zone or one cell only, that of an attempt that may have
+     * run.
+     */
+    private static boolean isBoundToScope(PendingRequest pending, Attempt binding) {
+        return binding != null && pending.profile.effect() == Effect.DEDUPLICATED
+                && pending.profile.scope() != Scope.ALL;
     }
 
-    /** Fills a side with those that a request may go to, in the order of their ids. */
-    private void look(Side side, PendingRequest t, Attempt bound, boolean wide) {
-        side.weights = 0;
-        side.times = 0;
-        side.open = 0;
-        side.looked.clear();
-        side.roomy.clear();
-        boolean own = side == near;
-        double width = width(own, wide);
-        if (!tied(t, bound)) {
-            if (own) {
-                fleet.window(home.ready, width, side.looked);
+    /** Resets the candidates and adds the servers of this proxy's windows to considered, in order of ids. */
+    private void collectCandidates(Candidates candidates, PendingRequest pending, Attempt binding,
+            boolean isWide) {
+        candidates.totalWeight = 0;
+        candidates.weightedTimesNs = 0;
+        candidates.openWeight = 0;
+        candidates.considered.clear();
+        candidates.withCapacity.clear();
+        boolean isOwnZone = candidates == ownCandidates;
+        double width = windowWidth(isOwnZone, isWide);
+        if (!isBoundToScope(pending, binding)) {
+            if (isOwnZone) {
+                fleet.addWindow(ownZone.readyServers, width, candidates.considered);
             } else {
-                fleet.windows(home, width, side.looked);
+                fleet.addWindowsOfOtherZones(ownZone, width, candidates.considered);
             }
-        } else if (own == (bound.to.zone == home)) {
-            if (t.profile.scope() == Scope.CELL) {
-                fleet.cell(bound.to, width, side.looked);
+        } else if (isOwnZone == (binding.sentTo.zone == ownZone)) {
+            if (pending.profile.scope() == Scope.CELL) {
+                fleet.addWindowOfCell(binding.sentTo, width, candidates.considered);
             } else {
-                fleet.window(bound.to.zone.ready, width, side.looked);
+                fleet.addWindow(binding.sentTo.zone.readyServers, width, candidates.considered);
             }
         }
     }
 
     /**
-     * Ejects those in use that have fallen silent. Returns an ejected one that is due a trial: one request at
-     * a time that is still whole, and none that could be lost with it.
+     * Ejects servers in use that have become unresponsive, and returns an ejected server that is due for a
+     * trial, or null. A trial gets one request at a time: one that has not run yet, and that is harmless to
+     * lose while other attempts are in flight at the server.
      */
-    private Server trial(PendingRequest t, Attempt bound, boolean wide, long now) {
-        for (Server s : fleet.inUse()) {
-            boolean own = s.zone == home;
-            if (!s.ready() || !fleet.within(s, width(own, wide)) || !fit(s, t, bound, now)) { continue; }
-            if (!s.ejected && silent(s, now)) { doubt(s, now); }
-            if (s.ejected && now >= s.trialAt && bound == null
-                    && (s.out == 0 || t.profile.effect() != Effect.AT_MOST_ONCE)) {
-                eject(s, now);
-                return s;
+    private Server ejectAndFindTrial(PendingRequest pending, Attempt binding, boolean isWide, long now) {
+        for (Server server : fleet.inUse()) {
+            boolean isOwnZone = server.zone == ownZone;
+            if (!server.isReady() || !fleet.isInWindow(server, windowWidth(isOwnZone, isWide))
+                    || !isEligible(server, pending, binding, now)) {
+                continue;
+            }
+            if (!server.isEjected && isUnresponsive(server, now)) { ejectWithImmediateTrial(server, now); }
+            if (server.isEjected && now >= server.nextTrialAtNs && binding == null
+                    && (server.inFlight == 0 || pending.profile.effect() != Effect.AT_MOST_ONCE)) {
+                eject(server, now);
+                return server;
             }
         }
         return null;
     }
 
-    private void weigh(Side side, PendingRequest t, Attempt bound, boolean wide, long now) {
-        double most = (t.aim - now) * ADMIT;
-        look(side, t, bound, wide);
-        for (Server s : side.looked) {
-            if (s.ejected || !fit(s, t, bound, now)) { continue; }
-            double slow = s.pace / warmth(s, now);
-            leastService = Math.min(leastService, s.pace);
-            double load = load(s);
-            double weight = weight(s, load);
-            s.weight = weight;
-            side.weights += weight;
-            // Where no report tells what a server holds, its busy share tells how long one waits there.
-            double waits = s.blind ? 1 / Math.max(SPARE_FLOOR, s.spare) : 1;
-            side.times += weight * (s.zone.way + slow * (load + 1) * waits);
-            if (slow * load <= most - s.zone.way * ADMIT) {
-                side.open += weight;
-                side.roomy.add(s);
+    /** Computes the weights of the candidates for one request, and finds those with capacity. */
+    private void weighCandidates(Candidates candidates, PendingRequest pending, Attempt binding,
+            boolean isWide, long now) {
+        double maxWorkNs = (pending.targetAtNs - now) * MAX_WORK_AHEAD_FRACTION;
+        collectCandidates(candidates, pending, binding, isWide);
+        for (Server server : candidates.considered) {
+            if (server.isEjected || !isEligible(server, pending, binding, now)) { continue; }
+            double currentTimeNs = server.serviceTimeNs / warmFraction(server, now);
+            minServiceTimeNs = Math.min(minServiceTimeNs, server.serviceTimeNs);
+            double load = load(server);
+            double weight = weight(server, load);
+            server.weight = weight;
+            candidates.totalWeight += weight;
+            // If reports lack the number in flight, the utilization shows how long a request waits.
+            double waitFactor = server.lacksInFlightReport
+                    ? 1 / Math.max(MIN_SPARE_FRACTION, server.spareFraction) : 1;
+            candidates.weightedTimesNs += weight
+                    * (server.zone.networkLatencyNs + currentTimeNs * (load + 1) * waitFactor);
+            if (currentTimeNs * load <= maxWorkNs - server.zone.networkLatencyNs * MAX_WORK_AHEAD_FRACTION) {
+                candidates.openWeight += weight;
+                candidates.withCapacity.add(server);
             }
         }
     }
 
-    /** Each of a side's servers with room gains its share of a turn; the first of all by then is the best. */
-    private Server rotate(Side side, double total, Server best) {
-        for (Server s : side.roomy) {
-            s.tally += s.weight / total;
-            if (best == null || s.tally > best.tally || s.tally == best.tally && s.id < best.id) { best = s; }
+    /**
+     * Adds to the credit of each candidate with capacity its fraction of the total weight. Returns the server
+     * with the highest credit among these and the best so far; of equal credits the lowest id.
+     */
+    private Server advanceRotation(Candidates candidates, double totalOpenWeight, Server best) {
+        for (Server server : candidates.withCapacity) {
+            server.rotationCredit += server.weight / totalOpenWeight;
+            if (best == null || server.rotationCredit > best.rotationCredit
+                    || server.rotationCredit == best.rotationCredit && server.id < best.id) {
+                best = server;
+            }
         }
         return best;
     }
 
-    /** Share of a mean request's worth lost by missing the promise, at the rotation's expected time. */
-    private double missed(Side side, PendingRequest t, long now) {
-        double expected = side.weights > 0 ? side.times / side.weights : Double.MAX_VALUE;
-        double p = Math.exp(-Math.max(1, t.aim - now) / Math.max(1, expected));
-        return p * t.profile.worth() / meanWorth * (1 - t.profile.lateShare());
+    /**
+     * Returns the worth lost by missing the target, times the probability of missing it at the expected
+     * response time of the candidates, as a fraction of the worth of an average request.
+     */
+    private double expectedLoss(Candidates candidates, PendingRequest pending, long now) {
+        double expectedTimeNs = candidates.totalWeight > 0
+                ? candidates.weightedTimesNs / candidates.totalWeight : Double.MAX_VALUE;
+        double missProbability =
+                Math.exp(-Math.max(1, pending.targetAtNs - now) / Math.max(1, expectedTimeNs));
+        return missProbability * pending.profile.worth() / meanWorth * (1 - pending.profile.lateShare());
     }
 
     // ---- requests ----
 
     /**
-     * A proxy that stood still finds outcomes and time-outs that are its own fault, not the servers': what
-     * comes in that moment teaches nothing of them. Hurts nobody: a moment later all counts again.
+     * Detects that this proxy was paused. Outcomes and time-outs that arrive at the moment it resumes are its
+     * own fault, not that of the servers, so nothing is learned from them; a moment later everything counts
+     * again.
      */
-    private void heard(long now) {
-        if (now - heardAt > 2 * PULSE_NS) { wokeAt = now; } // from here on the servers owe what they owed
-        heardAt = now;
+    private void detectPause(long now) {
+        // Answers outstanding since before the pause are awaited from the time of resumption on.
+        if (now - lastEventAtNs > 2 * HEARTBEAT_INTERVAL_NS) { resumedAtNs = now; }
+        lastEventAtNs = now;
     }
 
     /**
-     * When an answer stops earning anything. A client's repeat that comes with less time than first tries
-     * do has waited since the first: what is left of the promise counts from there. Guards against work for
-     * answers that are late already; hurts where marked repeats come short of time for another reason.
+     * Returns the time until which an answer counts as in time. A client's repeat that arrives with less time
+     * left than first tries do has waited since its first try, so the promise counts from that. This avoids
+     * work for answers that are late already; it is wrong for marked repeats that have little time for
+     * another reason.
      */
-    private long aim(Request r, Profile p, long now) {
-        mostLeft[r.profile()] = Math.max(mostLeft[r.profile()], r.leftNs());
-        long waited = r.repeat() && r.leftNs() < mostLeft[r.profile()] - settings.stepNs()
-                ? p.giveUpNs() - r.leftNs() : 0;
-        return now + Math.min(r.leftNs(), p.promiseNs() - waited);
+    private long targetTimeNs(Request request, Profile requestClass, long now) {
+        maxTimeLeftNs[request.profile()] = Math.max(maxTimeLeftNs[request.profile()], request.leftNs());
+        long waitedNs = request.repeat()
+                && request.leftNs() < maxTimeLeftNs[request.profile()] - settings.stepNs()
+                ? requestClass.giveUpNs() - request.leftNs() : 0;
+        return now + Math.min(request.leftNs(), requestClass.promiseNs() - waitedNs);
     }
 
     @Override
     public void onRequest(long now, Request request) {
-        heard(now);
-        age(now);
-        arrivals++;
+        detectPause(now);
+        decayAverages(now);
+        recentArrivals++;
         Profile profile = settings.profiles().get(request.profile());
-        PendingRequest t = new PendingRequest(request, profile, aim(request, profile, now),
+        PendingRequest pending = new PendingRequest(request, profile, targetTimeNs(request, profile, now),
                 now + request.leftNs());
-        tickets.put(request.ticket(), t);
-        if (t.profile.sequential() && request.key() != 0) {
-            t.turn = turns.computeIfAbsent(request.key(), k -> new KeyQueue());
-            t.turn.queue.add(t);
-        }
-        retries = Math.min(RETRY_BURST, retries + RETRY_RATE);
-        resends = Math.min(RESEND_BURST, resends + RESEND_RATE);
-        if (!offer(t, now)) { hold(t, now); }
-    }
-
-    private void hold(PendingRequest t, long now) {
-        t.held = true;
-        int at = waiting.size();
-        while (at > 0 && waiting.get(at - 1).profile.worth() <= t.profile.worth()) { at--; }
-        waiting.add(at, t);
-        arm(now);
-    }
-
-    private void age(long now) {
-        if (now - agedAt > AGE_NS) {
-            double keep = Math.exp((agedAt - now) / RATE_NS);
-            double hope = Math.exp((agedAt - now) / KIND_NS);
-            for (Zone z : fleet.zones()) {
-                z.rate *= keep;
-                z.usual = 1 - hope * (1 - z.usual);
-                z.unheard = 1 / z.usual - 1;
+        pendingByTicket.put(request.ticket(), pending);
+        if (pending.profile.sequential() && request.key() != 0) {
+            pending.keyQueue = keyQueues.computeIfAbsent(request.key(), newKey -> new KeyQueue());
+            pending.keyQueue.requests.add(pending);
+        }
+        retryBudget = Math.min(MAX_RETRY_BUDGET, retryBudget + RETRIES_PER_REQUEST);
+        resendBudget = Math.min(MAX_RESEND_BUDGET, resendBudget + RESENDS_PER_REQUEST);
+        if (!trySend(pending, now)) { enqueue(pending, now); }
+    }
+
+    private void enqueue(PendingRequest pending, long now) {
+        pending.hasWaited = true;
+        int index = waiting.size();
+        while (index > 0 && waiting.get(index - 1).profile.worth() <= pending.profile.worth()) { index--; }
+        waiting.add(index, pending);
+        armWaitingTimer(now);
+    }
+
+    /** Lets the averages decay to the current time, and computes what follows from them. */
+    private void decayAverages(long now) {
+        if (now - decayedAtNs > DECAY_INTERVAL_NS) {
+            double retained = Math.exp((decayedAtNs - now) / SEND_RATE_MEMORY_NS);
+            double retainedShare = Math.exp((decayedAtNs - now) / KIND_MEMORY_NS);
+            for (Zone each : fleet.zones()) {
+                each.sendsPerServer *= retained;
+                each.averageShare = 1 - retainedShare * (1 - each.averageShare);
+                each.assumedOtherLoad = 1 / each.averageShare - 1;
             }
-            keep = Math.exp((agedAt - now) / USUAL_NS);
-            arrivals *= keep;
-            sent *= keep;
-            good *= keep;
-            lost *= keep;
-            keep = Math.exp((agedAt - now) / OTHERS_NS);
-            double kept = keep;
-            recent.removeIf(s -> {
-                s.fresh *= kept;
-                s.others = s.fresh * s.heard + (1 - s.fresh) * s.zone.unheard;
-                s.recent = s.fresh > FADED;
-                return !s.recent;
+            retained = Math.exp((decayedAtNs - now) / LOAD_MEMORY_NS);
+            recentArrivals *= retained;
+            recentSends *= retained;
+            recentServed *= retained;
+            recentLost *= retained;
+            retained = Math.exp((decayedAtNs - now) / REPORT_MEMORY_NS);
+            double retainedFreshness = retained;
+            recentlyReported.removeIf(server -> {
+                server.freshness *= retainedFreshness;
+                server.otherLoad = server.freshness * server.reportedOtherLoad
+                        + (1 - server.freshness) * server.zone.assumedOtherLoad;
+                server.hasRecentReport = server.freshness > MIN_FRESHNESS;
+                return !server.hasRecentReport;
             });
-            double units = fleet.units(s -> warmth(s, now));
-            part = Math.max(PART_LEAST, UNIT_HOLDS * units / Math.max(1, settings.balancers()));
-            turns.values().removeIf(u -> u.queue.isEmpty() && now >= u.restUntil);
-            agedAt = now;
+            double units = fleet.effectiveUnits(server -> warmFraction(server, now));
+            inFlightLimit = Math.max(MIN_IN_FLIGHT_LIMIT,
+                    IN_FLIGHT_PER_UNIT * units / Math.max(1, settings.balancers()));
+            keyQueues.values().removeIf(
+                    keyQueue -> keyQueue.requests.isEmpty() && now >= keyQueue.coolDownUntilNs);
+            decayedAtNs = now;
         }
     }
 
     /**
-     * Sends an attempt while a server has room; else the request waits here, where it costs no server
-     * anything and, if it is whole, can still be refused harmlessly. True if it need not wait (any longer).
+     * Sends an attempt if a server has capacity; otherwise the request has to wait in this proxy, where it
+     * costs no server anything and can still be refused harmlessly if no attempt may have run. Returns
+     * whether the request need not wait (any longer): it was sent or is finished.
      */
-    private boolean offer(PendingRequest t, long now) {
-        if (t.over) { return true; }
-        if (!t.attempts.isEmpty() && !mayAttempt(t, now)) { // its time has run out as it waited
-            end(t);
+    private boolean trySend(PendingRequest pending, long now) {
+        if (pending.isFinished) { return true; }
+        if (!pending.attempts.isEmpty() && !mayAttempt(pending, now)) { // ran out of time while queued
+            finishUnserved(pending);
             return true;
         }
-        // a further one has the turn
-        boolean held = t.attempts.isEmpty() && !inTurn(t, now) || throttled() || crowded(t);
-        Server s = held || hopeless(t, now) ? null : pick(t, now);
-        if (s != null) {
-            send(t, s, now);
+        // The order by key restricts the first attempt only: a further one is already the next of its key.
+        boolean mustWait = pending.attempts.isEmpty() && !isNextOfKey(pending, now) || isThrottled()
+                || isOverInFlightLimit(pending);
+        Server server = mustWait || finishIfTooLate(pending, now) ? null : pick(pending, now);
+        if (server != null) {
+            send(pending, server, now);
             return true;
         }
-        full = held || !t.attempts.isEmpty() ? full : t.profile; // a further one may be bound to a few
-        return hopeless(t, now);
+        // A further attempt may be restricted to a few servers, so it shows nothing about its class.
+        profileWithoutCapacity = mustWait || !pending.attempts.isEmpty() ? profileWithoutCapacity
+                : pending.profile;
+        return finishIfTooLate(pending, now);
     }
 
     /**
-     * Most sends are lost: no more go out than so many for each served. Where few were served lately, a share
-     * of the arrivals goes out all the same. That guards against a proxy that loses its first sends, by its
-     * own slow start or a short outage: with nothing sent nothing is served, and the throttle stays shut.
+     * Returns whether most recent sends are lost, so that no more may be sent than a certain number for each
+     * one served. If few were served recently, a fraction of the arrivals is sent anyway: otherwise a proxy
+     * that loses its first sends, by its own slow start or a short outage, would send nothing, be served
+     * nothing and stay throttled.
      */
-    private boolean throttled() {
-        double unknown = Math.max(THROTTLE_FLOOR, THROTTLE_TRY * arrivals - good);
-        return lost >= THROTTLE_LOST && sent > THROTTLE_RATIO * good + unknown;
+    private boolean isThrottled() {
+        double extraSends =
+                Math.max(MIN_EXTRA_SENDS, THROTTLED_SEND_FRACTION * recentArrivals - recentServed);
+        return recentLost >= MIN_LOST_TO_THROTTLE
+                && recentSends > MAX_SENDS_PER_SERVED * recentServed + extraSends;
     }
 
     /**
-     * A server at which this proxy has nothing out looks empty, and so it does to each proxy of the fleet:
-     * where they are many, one request from each drowns it. So while answers are slow, none has more than its
-     * part out.
+     * Returns whether responses are slow and this proxy has its share of attempts in flight. A server at
+     * which it has none in flight looks idle, to each proxy of the fleet: with many proxies, one request from
+     * each overloads the server.
      */
-    private boolean crowded(PendingRequest t) {
-        int profile = t.request.profile();
-        // One that started in the middle of it takes slow answers for the quick ones: half a promise is slow.
-        return allOut >= part
-                && median[profile] > Math.min(CROWDED * quick[profile], t.profile.promiseNs() / 2.0);
+    private boolean isOverInFlightLimit(PendingRequest pending) {
+        int profileIndex = pending.request.profile();
+        // A proxy that started during the overload has seen slow answers only, so its quick ones are slow
+        // too; therefore half the promise always counts as slow.
+        return totalInFlight >= inFlightLimit && medianResponseNs[profileIndex]
+                > Math.min(SLOW_MULTIPLE * quickResponseNs[profileIndex], pending.profile.promiseNs() / 2.0);
     }
 
     /**
-     * Ends a request that has waited here and has less time left than half of its class's answers took, or
-     * comes with less than hardly any took; true if it is over. It guards against work for clients that will
-     * have left: held here for long, or of little patience. Of those that come so many may still be served.
+     * Finishes a request that is unlikely to be served in time, and returns whether the request is finished.
+     * A request that was queued is too late with less time left than half of the answers of its class take; a
+     * new one, which may still be among the quick ones, with less than nearly all of them take. Avoids work
+     * for clients that will have left, because the request waited for long or the client has little patience.
      */
-    private boolean hopeless(PendingRequest t, long now) {
-        double least = (t.held ? median : quick)[t.request.profile()];
-        if (!t.over && (t.aim - now < Math.min(least, t.profile.promiseNs() / 2.0)
-                || now >= t.deadline - HOLD_NS - 2 * settings.stepNs())) {
-            end(t);
+    private boolean finishIfTooLate(PendingRequest pending, long now) {
+        double minTimeNs =
+                (pending.hasWaited ? medianResponseNs : quickResponseNs)[pending.request.profile()];
+        if (!pending.isFinished
+                && (pending.targetAtNs - now < Math.min(minTimeNs, pending.profile.promiseNs() / 2.0)
+                || now >= pending.deadlineNs - WAITING_CHECK_INTERVAL_NS - 2 * settings.stepNs())) {
+            finishUnserved(pending);
         }
-        return t.over;
+        return pending.isFinished;
     }
 
-    private void arm(long now) {
-        if (!armed && !waiting.isEmpty()) {
-            armed = true;
-            out.timer(now + HOLD_NS, WAIT_TOKEN);
+    private void armWaitingTimer(long now) {
+        if (!isWaitingTimerArmed && !waiting.isEmpty()) {
+            isWaitingTimerArmed = true;
+            actions.timer(now + WAITING_CHECK_INTERVAL_NS, WAITING_TOKEN);
         }
     }
 
-    /** Offers what waits again; after the first of a class that stays, the rest are only checked for time. */
-    private void drain(long now) {
-        full = null;
-        // All are looked at, not the head alone: a client's repeat behind it may have less time left.
-        waiting.removeIf(t -> t.profile == full ? hopeless(t, now) : offer(t, now));
+    /**
+     * Tries to send the queued requests; after one of a class finds no capacity, the rest are only checked
+     * for time.
+     */
+    private void sendWaiting(long now) {
+        profileWithoutCapacity = null;
+        // Checks every request, not only the head: a client's repeat behind it may have less time left.
+        waiting.removeIf(pending -> pending.profile == profileWithoutCapacity
+                ? finishIfTooLate(pending, now) : trySend(pending, now));
     }
 
-    private void send(PendingRequest t, Server s, long now) {
-        t.attempts.add(new Attempt(s, load(s), now));
-        t.out++;
-        allOut++;
-        s.owedSince = s.out++ == 0 ? now : s.owedSince;
-        fleet.used(s);
-        s.tokens--;
-        sent++;
-        s.zone.rate += 1.0 / s.zone.ready.size(); // of now: a zone that shrinks grows no budget by it
-        // An answer that would earn nothing leaves the server, unless a repeat would then run beside it.
-        boolean cut = settings.mayCancel() && t.profile.lateShare() == 0
-                && !(t.profile.effect() == Effect.DEDUPLICATED && t.profile.scope() == Scope.ALL);
-        out.send(t.request.ticket(), s.id, cut ? Math.max(1, t.aim - now) : 0);
+    private void send(PendingRequest pending, Server server, long now) {
+        pending.attempts.add(new Attempt(server, load(server), now));
+        pending.inFlight++;
+        totalInFlight++;
+        server.awaitingSinceNs = server.inFlight++ == 0 ? now : server.awaitingSinceNs;
+        fleet.updateInUse(server);
+        server.coldTokens--;
+        recentSends++;
+        // Divided by the current size of the zone: a zone that shrinks must not get a higher cold budget.
+        server.zone.sendsPerServer += 1.0 / server.zone.readyServers.size();
+        // Cancels an attempt whose answer would be worth nothing, unless a repeat would then run
+        // concurrently.
+        boolean isCancelledWhenLate = settings.mayCancel() && pending.profile.lateShare() == 0
+                && !(pending.profile.effect() == Effect.DEDUPLICATED && pending.profile.scope() == Scope.ALL);
+        actions.send(pending.request.ticket(), server.id,
+                isCancelledWhenLate ? Math.max(1, pending.targetAtNs - now) : 0);
     }
 
-    /** May another attempt start now, by the rules on repeats? */
-    private boolean mayAttempt(PendingRequest t, long now) {
-        if (t.over || t.begun || now >= t.aim || t.attempts.size() >= settings.maxAttempts()
-                || now >= t.deadline - settings.stepNs()) {
+    /** Returns whether the rules on repeats, attempts and time allow another attempt now. */
+    private boolean mayAttempt(PendingRequest pending, long now) {
+        if (pending.isFinished || pending.hasStreamBegun || now >= pending.targetAtNs
+                || pending.attempts.size() >= settings.maxAttempts()
+                || now >= pending.deadlineNs - settings.stepNs()) {
             return false;
         }
-        Attempt bound = bound(t);
-        return bound == null || t.profile.effect() == Effect.IDEMPOTENT
-                || t.profile.effect() == Effect.DEDUPLICATED
-                // It has to arrive within the window, behind a connection that comes up late.
-                && now - bound.sentAt < t.profile.windowNs() - settings.connectTimeoutNs()
+        Attempt binding = bindingAttempt(pending);
+        return binding == null || pending.profile.effect() == Effect.IDEMPOTENT
+                || pending.profile.effect() == Effect.DEDUPLICATED
+                // It has to reach its server within the window even if connecting takes the maximum time.
+                && now - binding.sentAtNs < pending.profile.windowNs() - settings.connectTimeoutNs()
                         - 2 * settings.stepNs();
     }
 
     /**
-     * A further attempt elsewhere, within the rules and the retry budget; else the request ends at once.
-     * After a connection that broke it waits for room as a first one does, if some server may come to have
-     * it: that tells of no load, where full servers and errors say that more attempts would do harm.
+     * Sends a further attempt to another server if the rules and the retry budget allow it; otherwise
+     * finishes the request. After a broken connection the request may be queued for capacity like a new one,
+     * provided that some server is eligible: a broken connection does not indicate load, whereas after
+     * rejections and errors further attempts would do harm.
      */
-    private void again(PendingRequest t, long now) {
-        boolean broke = t.attempts.get(t.attempts.size() - 1).ended == Status.RESET;
-        Attempt bound = bound(t);
-        if ((broke ? resends : retries) < 1 || !mayAttempt(t, now)
-                || !anyFit(near, t, bound, now) && !anyFit(far, t, bound, now)) {
-            end(t);
+    private void retryOrFinish(PendingRequest pending, long now) {
+        boolean wasReset = pending.attempts.get(pending.attempts.size() - 1).endStatus == Status.RESET;
+        Attempt binding = bindingAttempt(pending);
+        if ((wasReset ? resendBudget : retryBudget) < 1 || !mayAttempt(pending, now)
+                || !hasEligible(ownCandidates, pending, binding, now)
+                && !hasEligible(otherCandidates, pending, binding, now)) {
+            finishUnserved(pending);
             return;
         }
-        if (!offer(t, now)) {
-            if (!broke) {
-                end(t);
+        if (!trySend(pending, now)) {
+            if (!wasReset) {
+                finishUnserved(pending);
                 return;
             }
-            hold(t, now);
+            enqueue(pending, now);
         }
-        resends -= broke ? 1 : 0;
-        retries -= broke ? 0 : 1;
+        resendBudget -= wasReset ? 1 : 0;
+        retryBudget -= wasReset ? 0 : 1;
     }
 
-    private boolean anyFit(Side side, PendingRequest t, Attempt bound, long now) {
-        look(side, t, bound, true);
-        return side.looked.stream().anyMatch(s -> fit(s, t, bound, now));
+    private boolean hasEligible(Candidates candidates, PendingRequest pending, Attempt binding, long now) {
+        collectCandidates(candidates, pending, binding, true);
+        return candidates.considered.stream().anyMatch(server -> isEligible(server, pending, binding, now));
     }
 
-    /** The final answer where no attempt served: refused if a repeat is harmless, else failed. */
-    private void end(PendingRequest t) {
-        if (bound(t) == null || t.profile.repeatsAnywhere()) {
-            out.refuse(t.request.ticket(), settings.maxRetryAfterNs());
+    /**
+     * Gives the final answer to a request that was not served: refused if a repeat is harmless, otherwise
+     * failed.
+     */
+    private void finishUnserved(PendingRequest pending) {
+        if (bindingAttempt(pending) == null || pending.profile.repeatsAnywhere()) {
+            actions.refuse(pending.request.ticket(), settings.maxRetryAfterNs());
         } else {
-            out.fail(t.request.ticket());
+            actions.fail(pending.request.ticket());
         }
-        close(t);
+        finish(pending);
     }
 
-    private void close(PendingRequest t) {
-        t.over = true;
-        if (t.out == 0) {
-            forget(t);
+    /** Marks a request as finished, and cancels its attempt in flight if attempts may be cancelled. */
+    private void finish(PendingRequest pending) {
+        pending.isFinished = true;
+        if (pending.inFlight == 0) {
+            discard(pending);
         } else if (settings.mayCancel()) {
-            out.cancel(t.request.ticket(), t.attempts.size() - 1); // never more than one is out
+            // At most one attempt is in flight, the last.
+            actions.cancel(pending.request.ticket(), pending.attempts.size() - 1);
         }
     }
 
     /**
-     * Order: one that follows waits until each earlier one of its key is over and has no attempt out, and
-     * until the key has rested from attempts that may still be running.
+     * Returns whether a request may run by the order of its key. A request waits until every earlier one of
+     * its key is finished and has no attempt in flight, and until the cool-down after attempts that may still
+     * be running is over.
      */
-    private static boolean inTurn(PendingRequest t, long now) {
-        return t.turn == null || t.turn.queue.peek() == t && now >= t.turn.restUntil;
+    private static boolean isNextOfKey(PendingRequest pending, long now) {
+        return pending.keyQueue == null
+                || pending.keyQueue.requests.peek() == pending && now >= pending.keyQueue.coolDownUntilNs;
     }
 
-    /** Its last attempt has ended: the next of its key may run. */
-    private void forget(PendingRequest t) {
-        tickets.remove(t.request.ticket());
-        if (t.turn != null) { t.turn.queue.remove(t); }
+    /** Removes a finished request without attempts in flight, so that the next of its key may run. */
+    private void discard(PendingRequest pending) {
+        pendingByTicket.remove(pending.request.ticket());
+        if (pending.keyQueue != null) { pending.keyQueue.requests.remove(pending); }
     }
 
     @Override
     public void onStreamBegun(long now, int ticket, int attempt, int server, long elapsedNs) {
-        PendingRequest t = tickets.get(ticket);
-        if (t != null) { t.begun = true; }
+        PendingRequest pending = pendingByTicket.get(ticket);
+        if (pending != null) { pending.hasStreamBegun = true; }
     }
 
     @Override
-    public void onOutcome(long now, Outcome o) {
-        heard(now);
-        PendingRequest t = tickets.get(o.ticket());
-        if (t == null || o.attempt() >= t.attempts.size() || t.attempts.get(o.attempt()).ended != null) {
+    public void onOutcome(long now, Outcome outcome) {
+        detectPause(now);
+        PendingRequest pending = pendingByTicket.get(outcome.ticket());
+        if (pending == null || outcome.attempt() >= pending.attempts.size()
+                || pending.attempts.get(outcome.attempt()).endStatus != null) {
             return;
         }
-        Attempt a = t.attempts.get(o.attempt());
-        a.ended = o.status();
-        t.out--;
-        a.to.out--;
-        fleet.used(a.to);
-        allOut--;
-        if (t.turn != null && (o.status() == Status.TIMEOUT || o.status() == Status.RESET
-                || o.status() == Status.CANCELLED)) {
-            t.turn.restUntil = now + settings.turnGapNs();
-        }
-        if (now != wokeAt) { learn(t, a, o, now); }
-        report(a.to, now, o.report());
-        if (o.over() && !t.over) {
-            close(t);
-        } else if (t.over && t.out == 0) {
-            forget(t);
-        } else if (!t.over && t.out == 0) {
-            again(t, now);
-        }
-        drain(now);
-    }
-
-    /**
-     * The way to a zone is what its quickest answer takes longer than that of the nearest zone. It is no
-     * work: counted as such, a far server looks slow, and full with one request that is on its way.
-     */
-    private void quicken(Zone z, long elapsed, long now) {
-        double keep = Math.exp((z.quickestAt - now) / WAY_NS);
-        z.quickest = Math.min(elapsed, elapsed - keep * (elapsed - z.quickest));
-        z.quickestAt = now;
-        double nearest = Double.MAX_VALUE;
-        for (Zone each : fleet.zones()) { nearest = Math.min(nearest, each.quickest); }
+        Attempt completed = pending.attempts.get(outcome.attempt());
+        completed.endStatus = outcome.status();
+        pending.inFlight--;
+        completed.sentTo.inFlight--;
+        fleet.updateInUse(completed.sentTo);
+        totalInFlight--;
+        if (pending.keyQueue != null && (outcome.status() == Status.TIMEOUT
+                || outcome.status() == Status.RESET || outcome.status() == Status.CANCELLED)) {
+            pending.keyQueue.coolDownUntilNs = now + settings.turnGapNs();
+        }
+        if (now != resumedAtNs) { learnFromOutcome(pending, completed, outcome, now); }
+        applyReport(completed.sentTo, now, outcome.report());
+        if (outcome.over() && !pending.isFinished) {
+            finish(pending);
+        } else if (pending.isFinished && pending.inFlight == 0) {
+            discard(pending);
+        } else if (!pending.isFinished && pending.inFlight == 0) {
+            retryOrFinish(pending, now);
+        }
+        sendWaiting(now);
+    }
+
+    /**
+     * Updates the network latencies. That of a zone is the difference between its shortest response time and
+     * that of the nearest zone. It is not part of the service time: otherwise a distant server would look
+     * slow, and full with a single request that is still on the network.
+     */
+    private void updateNetworkLatency(Zone zone, long elapsedNs, long now) {
+        double retained = Math.exp((zone.minResponseTimeUpdatedAtNs - now) / LATENCY_MEMORY_NS);
+        zone.minResponseTimeNs =
+                Math.min(elapsedNs, elapsedNs - retained * (elapsedNs - zone.minResponseTimeNs));
+        zone.minResponseTimeUpdatedAtNs = now;
+        double nearestNs = Double.MAX_VALUE;
+        for (Zone each : fleet.zones()) { nearestNs = Math.min(nearestNs, each.minResponseTimeNs); }
         for (Zone each : fleet.zones()) {
-            each.way = each.quickest == Double.MAX_VALUE ? 0 : each.quickest - nearest;
-        }
-    }
-
-    private void learn(PendingRequest t, Attempt a, Outcome o, long now) {
-        Server s = a.to;
-        if (o.status() == Status.OK) {
-            quicken(s.zone, o.elapsedNs(), now);
-            double unit = Math.max(1000, o.elapsedNs() - s.zone.way) / (a.ahead + 1);
-            double m = median[t.request.profile()] == 0 ? o.elapsedNs() : median[t.request.profile()];
-            median[t.request.profile()] = m * (o.elapsedNs() > m ? 1 + MEDIAN_STEP : 1 - MEDIAN_STEP);
-            double q = quick[t.request.profile()] == 0 ? o.elapsedNs() : quick[t.request.profile()];
-            quick[t.request.profile()] = q * (o.elapsedNs() > q ? 1 + MEDIAN_STEP * QUICK_SHARE
-                    : 1 - MEDIAN_STEP * (1 - QUICK_SHARE));
-            // Far over its work, by the server's word and the median: a queue that will lose the next.
-            double work = s.blind && o.report() != null ? 1e6 * o.report().recentMs() : Double.NaN;
-            boolean tardy = o.elapsedNs() > Math.max(t.profile.promiseNs() / 2.0, TARDY * Math.max(m, work));
-            good += tardy ? 0 : 1;
-            lost += tardy ? 1 : 0;
-            s.owedSince = now;
-            s.failures = 0;
-            fleet.eject(s, false);
-            Kind kind = kind(s.listed);
-            double keep = Math.exp((s.learntAt - now) / PACE_NS);
-            s.learntAt = now;
-            unit *= warmth(s, now);
-            kind.pace += (1 - Math.exp((kind.learntAt - now) / KIND_NS)) * (unit - kind.pace);
-            kind.learntAt = now;
-            s.seen = Math.min(PACE_ANSWERS, s.seen * keep + 1);
-            s.ownPace += (unit - s.ownPace) / s.seen;
-            s.pace = (s.seen * s.ownPace + KIND_ANSWERS * kind.pace) / (s.seen + KIND_ANSWERS);
-        }
-        if (o.status() == Status.FULL || o.status() == Status.TIMEOUT || o.status() == Status.CANCELLED) {
-            lost++;
-        } else if (o.status() != Status.OK) {
-            sent = Math.max(0, sent - 1); // says nothing of the load
-        }
-        if (o.status() == Status.FULL) {
-            // No place: a jam that no report tells of, with so much work ahead at the least. A time-out tells
-            // no such thing: one answer lost on its way says nothing of what the rest of its zone holds.
-            crowd(s.zone, Math.max(minPromise, o.elapsedNs()) / s.pace, now);
-        }
-        if (o.status() != Status.OK && o.status() != Status.MOOT && o.status() != Status.TIMEOUT
-                && o.status() != Status.CANCELLED) {
-            // A fast failure teaches no pace: a server that fails fast must not look quick.
-            s.owedSince = now;
-            if (++s.failures >= EJECT_FAILURES || o.status() == Status.CONNECT_FAILED) {
-                eject(s, now);
+            each.networkLatencyNs =
+                    each.minResponseTimeNs == Double.MAX_VALUE ? 0 : each.minResponseTimeNs - nearestNs;
+        }
+    }
+
+    /** Updates the estimates and counts from the outcome of an attempt, and ejects a server that fails. */
+    private void learnFromOutcome(PendingRequest pending, Attempt attempt, Outcome outcome, long now) {
+        Server server = attempt.sentTo;
+        if (outcome.status() == Status.OK) {
+            updateNetworkLatency(server.zone, outcome.elapsedNs(), now);
+            double sampleNs = Math.max(1000, outcome.elapsedNs() - server.zone.networkLatencyNs)
+                    / (attempt.loadAhead + 1);
+            double medianNs = medianResponseNs[pending.request.profile()] == 0 ? outcome.elapsedNs()
+                    : medianResponseNs[pending.request.profile()];
+            medianResponseNs[pending.request.profile()] = medianNs
+                    * (outcome.elapsedNs() > medianNs ? 1 + QUANTILE_STEP : 1 - QUANTILE_STEP);
+            double quickNs = quickResponseNs[pending.request.profile()] == 0 ? outcome.elapsedNs()
+                    : quickResponseNs[pending.request.profile()];
+            quickResponseNs[pending.request.profile()] = quickNs
+                    * (outcome.elapsedNs() > quickNs ? 1 + QUANTILE_STEP * QUICK_QUANTILE
+                    : 1 - QUANTILE_STEP * (1 - QUICK_QUANTILE));
+            // An answer that took far longer comes from a queue that is about to lose the next request.
+            // Without a reported service time the limit is NaN, and no answer counts as late.
+            double reportedTimeNs = server.lacksInFlightReport && outcome.report() != null
+                    ? 1e6 * outcome.report().recentMs() : Double.NaN;
+            boolean isLate = outcome.elapsedNs() > Math.max(pending.profile.promiseNs() / 2.0,
+                    LATE_MULTIPLE * Math.max(medianNs, reportedTimeNs));
+            recentServed += isLate ? 0 : 1;
+            recentLost += isLate ? 1 : 0;
+            server.awaitingSinceNs = now;
+            server.consecutiveFailures = 0;
+            fleet.setEjected(server, false);
+            Kind kind = kindOf(server.listEntry);
+            double retained = Math.exp((server.lastAnswerAtNs - now) / SERVICE_TIME_MEMORY_NS);
+            server.lastAnswerAtNs = now;
+            sampleNs *= warmFraction(server, now);
+            kind.serviceTimeNs += (1 - Math.exp((kind.lastAnswerAtNs - now) / KIND_MEMORY_NS))
+                    * (sampleNs - kind.serviceTimeNs);
+            kind.lastAnswerAtNs = now;
+            server.measuredAnswers = Math.min(SERVICE_TIME_ANSWERS, server.measuredAnswers * retained + 1);
+            server.measuredServiceTimeNs +=
+                    (sampleNs - server.measuredServiceTimeNs) / server.measuredAnswers;
+            server.serviceTimeNs = (server.measuredAnswers * server.measuredServiceTimeNs
+                    + KIND_ANSWERS * kind.serviceTimeNs) / (server.measuredAnswers + KIND_ANSWERS);
+        }
+        if (outcome.status() == Status.FULL || outcome.status() == Status.TIMEOUT
+                || outcome.status() == Status.CANCELLED) {
+            recentLost++;
+        } else if (outcome.status() != Status.OK) {
+            recentSends = Math.max(0, recentSends - 1); // this failure does not indicate load
+        }
+        if (outcome.status() == Status.FULL) {
+            // A rejection shows an overload that no report shows, with at least this much work queued. A
+            // time-out does not: one answer lost on the network says nothing about the load of the rest of
+            // the zone.
+            updateZoneLoad(server.zone,
+                    Math.max(minPromiseNs, outcome.elapsedNs()) / server.serviceTimeNs, now);
+        }
+        if (outcome.status() != Status.OK && outcome.status() != Status.MOOT
+                && outcome.status() != Status.TIMEOUT && outcome.status() != Status.CANCELLED) {
+            // A failure does not change the service time: a server that fails fast must not look fast.
+            server.awaitingSinceNs = now;
+            if (++server.consecutiveFailures >= EJECTION_FAILURES
+                    || outcome.status() == Status.CONNECT_FAILED) {
+                eject(server, now);
             }
         }
     }
 
     @Override
     public void onWithdrawn(long now, int ticket) {
-        PendingRequest t = tickets.get(ticket);
-        if (t != null && !t.over) { close(t); }
+        PendingRequest pending = pendingByTicket.get(ticket);
+        if (pending != null && !pending.isFinished) { finish(pending); }
     }
 
     @Override
     public void onTimer(long now, long token) {
-        heard(now);
-        if (token == PULSE_TOKEN) {
-            out.timer(now + PULSE_NS, PULSE_TOKEN);
-        } else if (token == WAIT_TOKEN) {
-            armed = false;
-            drain(now);
-            arm(now);
-        } else if (token == asked) {
-            ask(now);
+        detectPause(now);
+        if (token == HEARTBEAT_TOKEN) {
+            actions.timer(now + HEARTBEAT_INTERVAL_NS, HEARTBEAT_TOKEN);
+        } else if (token == WAITING_TOKEN) {
+            isWaitingTimerArmed = false;
+            sendWaiting(now);
+            armWaitingTimer(now);
+        } else if (token == callNumber) {
+            callDiscovery(now);
         }
     }
 }
--- a/src/main/java/dewstage/RankedServers.java
+++ b/src/main/java/dewstage/RankedServers.java
@@ -5,38 +5,40 @@
 import java.util.List;
 
 /**
- * Servers in the order of their ids, found by rank. In blocks of bounded size: a server that comes or goes
- * moves at most one block, however many there are, and a rank is found by the sizes of the blocks.
+ * A set of servers sorted by id, with access by rank. The servers are stored in blocks of bounded size, so
+ * that an insertion or removal moves at most one block however large the set is; a rank is found by adding up
+ * the sizes of the blocks.
  */
 final class RankedServers {
-    /** A full block is cut in two. Moving so many references costs less than looking through more blocks. */
-    private static final int BLOCK = 256;
+    /** A full block is split. Moving this many references is cheaper than scanning more blocks. */
+    private static final int BLOCK_SIZE = 256;
 
     private static final class Block {
-        /** The ids stand side by side: a search among servers would fetch each from elsewhere in memory. */
-        private final int[] ids = new int[BLOCK];
-        private final Server[] servers = new Server[BLOCK];
+        /** The ids in an array of their own: searching the servers would cost a cache miss for each. */
+        private final int[] ids = new int[BLOCK_SIZE];
+        private final Server[] servers = new Server[BLOCK_SIZE];
         private int size;
 
-        /** Where an id stands, or, as -1 - i, where it would. */
+        /** Returns the index of an id, or -1 - i if it is absent and i is where it belongs. */
         private int find(int id) {
             return Arrays.binarySearch(ids, 0, size, id);
         }
 
-        private void insert(int at, Server s) {
-            System.arraycopy(ids, at, ids, at + 1, size - at);
-            System.arraycopy(servers, at, servers, at + 1, size++ - at);
-            ids[at] = s.id;
-            servers[at] = s;
+        private void insert(int index, Server server) {
+            System.arraycopy(ids, index, ids, index + 1, size - index);
+            System.arraycopy(servers, index, servers, index + 1, size++ - index);
+            ids[index] = server.id;
+            servers[index] = server;
         }
 
-        private void remove(int at) {
-            System.arraycopy(ids, at + 1, ids, at, --size - at);
-            System.arraycopy(servers, at + 1, servers, at, size - at);
+        private void remove(int index) {
+            System.arraycopy(ids, index + 1, ids, index, --size - index);
+            System.arraycopy(servers, index + 1, servers, index, size - index);
             servers[size] = null;
         }
 
-        private Block cut() {
+        /** Moves the upper half of this block into a new block and returns that. */
+        private Block split() {
             Block upper = new Block();
             upper.size = size / 2;
             size -= upper.size;
@@ -47,74 +49,78 @@
         }
     }
 
-    /** None is empty. */
+    /** In order of ids; no block is empty. */
     private final List<Block> blocks = new ArrayList<>();
     private int size;
-    /** Grows with each change: a rank that was found before may no longer hold. */
-    private int changes;
+    private int version;
 
     int size() {
         return size;
     }
 
-    int changes() {
-        return changes;
+    /**
+     * Returns a number that grows with each change; a rank that was found at another version may be stale.
+     */
+    int version() {
+        return version;
     }
 
-    /** The block in which an id stands or would: the last that does not begin behind it. */
-    private int block(int id) {
+    /** Returns the index of the last block whose first id is not greater than an id, or 0. */
+    private int blockIndex(int id) {
         int low = 1;
         int high = blocks.size() - 1;
         while (low <= high) {
             int middle = (low + high) >>> 1;
-            boolean behind = blocks.get(middle).ids[0] > id;
-            low = behind ? low : middle + 1;
-            high = behind ? middle - 1 : high;
+            boolean isGreater = blocks.get(middle).ids[0] > id;
+            low = isGreater ? low : middle + 1;
+            high = isGreater ? middle - 1 : high;
         }
         return high < 0 ? 0 : low - 1;
     }
 
-    /** Adds one whose id is not there yet. */
-    void add(Server s) {
+    /** Adds a server whose id must not be in the set yet. */
+    void add(Server server) {
         if (blocks.isEmpty()) { blocks.add(new Block()); }
-        int b = block(s.id);
-        if (blocks.get(b).size == BLOCK) {
-            blocks.add(b + 1, blocks.get(b).cut());
-            b = block(s.id);
+        int index = blockIndex(server.id);
+        if (blocks.get(index).size == BLOCK_SIZE) {
+            blocks.add(index + 1, blocks.get(index).split());
+            index = blockIndex(server.id);
         }
-        Block to = blocks.get(b);
-        to.insert(-1 - to.find(s.id), s);
+        Block target = blocks.get(index);
+        target.insert(-1 - target.find(server.id), server);
         size++;
-        changes++;
+        version++;
     }
 
-    void remove(Server s) {
-        int b = block(s.id);
-        Block from = blocks.get(b);
-        from.remove(from.find(s.id));
-        if (from.size == 0) { blocks.remove(b); }
+    /** Removes a server, which must be in the set. */
+    void remove(Server server) {
+        int index = blockIndex(server.id);
+        Block source = blocks.get(index);
+        source.remove(source.find(server.id));
+        if (source.size == 0) { blocks.remove(index); }
         size--;
-        changes++;
+        version++;
     }
 
-    int rank(Server s) {
-        int b = block(s.id);
-        int rank = blocks.get(b).find(s.id);
-        for (int i = 0; i < b; i++) {
+    /** Returns the number of servers with a smaller id than a server of the set. */
+    int rank(Server server) {
+        int index = blockIndex(server.id);
+        int rank = blocks.get(index).find(server.id);
+        for (int i = 0; i < index; i++) {
             rank += blocks.get(i).size;
         }
         return rank;
     }
 
-    /** Adds those of the ranks from 'from' up to, without it, 'to'. */
-    void copy(int from, int to, List<Server> into) {
-        int first = 0;
-        for (int b = 0; b < blocks.size() && first < to; b++) {
+    /** Appends the servers with the ranks from (inclusive) to (exclusive) to a list. */
+    void copy(int from, int to, List<Server> target) {
+        int firstRank = 0;
+        for (int b = 0; b < blocks.size() && firstRank < to; b++) {
             Block block = blocks.get(b);
-            for (int i = Math.max(0, from - first); i < Math.min(block.size, to - first); i++) {
-                into.add(block.servers[i]);
+            for (int i = Math.max(0, from - firstRank); i < Math.min(block.size, to - firstRank); i++) {
+                target.add(block.servers[i]);
             }
-            first += block.size;
+            firstRank += block.size;
         }
     }
 }
--- a/src/test/java/dewstage/OrderTest.java
+++ b/src/test/java/dewstage/OrderTest.java
@@ -157,7 +157,7 @@
             }
         }
         r.pass(400).request(0, 900, 1);
-        var turns = Policy.class.getDeclaredField("turns");
+        var turns = Policy.class.getDeclaredField("keyQueues");
         turns.setAccessible(true);
         int size = ((java.util.Map<?, ?>) turns.get(r.rules)).size();
         assertTrue(size <= 60, size + " keys kept");
