--- a/src/test/java/dewstage/PlainWalk.java
+++ b/src/test/java/dewstage/PlainWalk.java
@@ -160,21 +160,21 @@
             askPause = ASK_NS;
         }
         for (Server s : servers) {
-            s.named &= kind == ListKind.DELTA;
+            s.isListed &= kind == ListKind.DELTA;
         }
         for (Member m : members) {
             Server s = byId.get(m.id());
             if (s == null || m.bootNs() > s.bootNs) { s = started(m, now); }
-            s.listed = m;
-            s.named = true;
+            s.listEntry = m;
+            s.isListed = true;
         }
         Arrays.fill(zoneReady, 0);
         servers.sort(Comparator.comparingInt(s -> s.id));
         for (Iterator<Server> i = servers.iterator(); i.hasNext();) {
             Server s = i.next();
             s.rank = zoneReady[zone(s)];
-            zoneReady[zone(s)] += s.ready() ? 1 : 0;
-            if (s.out == 0 && (!s.named || s.listed.state() == State.GONE)) {
+            zoneReady[zone(s)] += s.isReady() ? 1 : 0;
+            if (s.inFlight == 0 && (!s.isListed || s.listEntry.state() == State.GONE)) {
                 i.remove();
                 byId.remove(s.id);
             }
@@ -188,19 +188,19 @@
 
     private Server started(Member m, long now) {
         Server s = new Server(m, kindPace[m.kind() & 255], parallel, now);
-        s.named = true;
+        s.isListed = true;
         Server old = byId.get(s.id);
         if (old != null) { servers.remove(old); }
         servers.add(s);
         byId.put(s.id, s);
         renew(s, now);
-        s.tokens = random.nextDouble();
-        s.tally = -random.nextDouble();
+        s.coldTokens = random.nextDouble();
+        s.rotationCredit = -random.nextDouble();
         return s;
     }
 
     private static int zone(Server s) {
-        return s.listed.zone() & 255;
+        return s.listEntry.zone() & 255;
     }
 
     private double warmth(Server s, long now) {
@@ -211,27 +211,27 @@
 
     private void report(Server s, long now, Report r) {
         if (r == null) { return; }
-        s.blind = !Double.isFinite(r.inflight());
+        s.lacksInFlightReport = !Double.isFinite(r.inflight());
         double held = Double.isFinite(r.inflight()) ? r.inflight() : r.queue();
-        if (held >= 0 && held < HELD_MOST && (held != s.held || r.util() != s.util)) {
-            s.held = held;
-            s.util = r.util();
-            double others = Math.max(0, held - s.out) / s.parallel;
-            s.heard += SPARE_GAIN * (others - s.heard);
-            s.others = s.heard;
-            s.fresh = 1;
+        if (held >= 0 && held < HELD_MOST && (held != s.lastInFlight || r.util() != s.lastUtilization)) {
+            s.lastInFlight = held;
+            s.lastUtilization = r.util();
+            double others = Math.max(0, held - s.inFlight) / s.parallelism;
+            s.reportedOtherLoad += SPARE_GAIN * (others - s.reportedOtherLoad);
+            s.otherLoad = s.reportedOtherLoad;
+            s.freshness = 1;
             crowd(zone(s), others, now);
         }
-        if (r.perSecond() > 0 && r.util() > 0 && r.perSecond() != s.told) {
-            s.told = r.perSecond();
-            s.rate += PARALLEL_GAIN * (r.perSecond() - s.rate);
-            s.busy += PARALLEL_GAIN * (Math.min(1, r.util()) - s.busy);
-            s.parallel = Math.max(1, s.rate / s.busy * s.pace / 1e9);
-            parallel += PARALLEL_GAIN * (s.parallel - parallel);
+        if (r.perSecond() > 0 && r.util() > 0 && r.perSecond() != s.lastThroughput) {
+            s.lastThroughput = r.perSecond();
+            s.throughput += PARALLEL_GAIN * (r.perSecond() - s.throughput);
+            s.utilization += PARALLEL_GAIN * (Math.min(1, r.util()) - s.utilization);
+            s.parallelism = Math.max(1, s.throughput / s.utilization * s.serviceTimeNs / 1e9);
+            parallel += PARALLEL_GAIN * (s.parallelism - parallel);
         }
-        if (now - s.renewedAt >= RENEW_NS) {
+        if (now - s.factorUpdatedAtNs >= RENEW_NS) {
             if (Double.isFinite(r.util())) {
-                s.spare += SPARE_GAIN * (1 - Math.max(0, Math.min(1, r.util())) - s.spare);
+                s.spareFraction += SPARE_GAIN * (1 - Math.max(0, Math.min(1, r.util())) - s.spareFraction);
             }
             renew(s, now);
         }
@@ -243,12 +243,13 @@
     }
 
     private void renew(Server s, long now) {
-        s.renewedAt = now;
-        s.factor = minPromise / s.pace * s.parallel * Math.max(SPARE_FLOOR, s.spare) * warmth(s, now);
+        s.factorUpdatedAtNs = now;
+        s.factor = minPromise / s.serviceTimeNs * s.parallelism * Math.max(SPARE_FLOOR, s.spareFraction)
+                * warmth(s, now);
     }
 
     private static double load(Server s) {
-        return s.out / s.parallel + s.others;
+        return s.inFlight / s.parallelism + s.otherLoad;
     }
 
     private static double weight(Server s) {
@@ -257,24 +258,24 @@
     }
 
     private boolean silent(Server s, long now) {
-        return s.out > 0 && now - s.owedSince > minPromise * SILENT_PROMISE + way[zone(s)]
-                + SILENT_GAPS * s.pace * (1 + s.others / s.out);
+        return s.inFlight > 0 && now - s.awaitingSinceNs > minPromise * SILENT_PROMISE + way[zone(s)]
+                + SILENT_GAPS * s.serviceTimeNs * (1 + s.otherLoad / s.inFlight);
     }
 
     private void eject(Server s, long now) {
-        long ready = servers.stream().filter(Server::ready).count();
-        long ejected = servers.stream().filter(o -> o.ready() && o.ejected).count();
-        if (s.ejected || ejected + 1 <= ready * EJECT_MOST) {
-            s.trialPause = s.ejected ? Math.min(s.trialPause * 2, 4 * TRIAL_NS) : TRIAL_NS;
-            s.trialAt = now + s.trialPause;
-            s.ejected = true;
+        long ready = servers.stream().filter(Server::isReady).count();
+        long ejected = servers.stream().filter(o -> o.isReady() && o.isEjected).count();
+        if (s.isEjected || ejected + 1 <= ready * EJECT_MOST) {
+            s.trialDelayNs = s.isEjected ? Math.min(s.trialDelayNs * 2, 4 * TRIAL_NS) : TRIAL_NS;
+            s.nextTrialAtNs = now + s.trialDelayNs;
+            s.isEjected = true;
         }
     }
 
     private void doubt(Server s, long now) {
         eject(s, now);
-        s.trialAt = now;
-        s.trialPause = TRIAL_NS / 2;
+        s.nextTrialAtNs = now;
+        s.trialDelayNs = TRIAL_NS / 2;
     }
 
     private boolean budget(Server s, long now) {
@@ -282,12 +283,13 @@
         if (warmth >= 1) { return true; }
         double remembered = RATE_NS * (1 - Math.exp(-Math.max(RATE_LEAST_NS, now - startedAt) / RATE_NS));
         double mine = zoneRate[zone(s)] / remembered * Math.max(1, zoneReady[zone(s)] / subset());
-        double idle = Math.min(1, 2 * Math.max(SPARE_FLOOR, s.spare));
+        double idle = Math.min(1, 2 * Math.max(SPARE_FLOOR, s.spareFraction));
         double rate = COLD_SAFETY * idle * Math.max(mine * settings.tipMultiple() * warmth,
                 1.0 / settings.fallNs() / Math.max(1, settings.balancers()));
-        s.tokens = Math.min(Math.max(1, rate * settings.fallNs() / 2), s.tokens + rate * (now - s.tokensAt));
-        s.tokensAt = now;
-        return s.tokens >= 1;
+        s.coldTokens = Math.min(Math.max(1, rate * settings.fallNs() / 2),
+                s.coldTokens + rate * (now - s.coldTokensUpdatedAtNs));
+        s.coldTokensUpdatedAtNs = now;
+        return s.coldTokens >= 1;
     }
 
     private double subset() {
@@ -297,23 +299,23 @@
 
     private Attempt bound(PendingRequest t) {
         for (Attempt a : t.attempts) {
-            boolean never = a.ended != null && a.ended.neverRan
-                    && !(a.ended == Status.FULL && settings.fullIsNoProof());
+            boolean never = a.endStatus != null && a.endStatus.neverRan
+                    && !(a.endStatus == Status.FULL && settings.fullIsNoProof());
             if (!never) { return a; }
         }
         return null;
     }
 
     private boolean fit(Server s, PendingRequest t, Attempt bound, long now) {
-        if (!s.ready() || !budget(s, now)) { return false; }
+        if (!s.isReady() || !budget(s, now)) { return false; }
         for (Attempt a : t.attempts) {
-            if (a.to.id == s.id) { return false; }
+            if (a.sentTo.id == s.id) { return false; }
         }
         if (bound == null || t.profile.effect() != Effect.DEDUPLICATED || t.profile.scope() == Scope.ALL) {
             return true;
         }
-        return zone(s) == zone(bound.to)
-                && (t.profile.scope() == Scope.ZONE || s.listed.cell() == bound.to.listed.cell());
+        return zone(s) == zone(bound.sentTo)
+                && (t.profile.scope() == Scope.ZONE || s.listEntry.cell() == bound.sentTo.listEntry.cell());
     }
 
     private Server pick(PendingRequest t, long now) {
@@ -326,26 +328,26 @@
         Arrays.fill(times, 0);
         Arrays.fill(open, 0);
         leastService = Double.MAX_VALUE;
-        double most = (t.aim - now) * ADMIT;
+        double most = (t.targetAtNs - now) * ADMIT;
         fits.clear();
         Attempt bound = bound(t);
         double subset = wide ? Double.MAX_VALUE : subset();
         for (Server s : servers) {
             int side = zone(s) == settings.zone() ? 0 : 1;
             if (!(places.get(s) * zoneReady[zone(s)] < subset - side && fit(s, t, bound, now))) { continue; }
-            if (!s.ejected && silent(s, now)) { doubt(s, now); }
-            if (s.ejected) {
-                if (now >= s.trialAt && bound == null
-                        && (s.out == 0 || t.profile.effect() != Effect.AT_MOST_ONCE)) {
+            if (!s.isEjected && silent(s, now)) { doubt(s, now); }
+            if (s.isEjected) {
+                if (now >= s.nextTrialAtNs && bound == null
+                        && (s.inFlight == 0 || t.profile.effect() != Effect.AT_MOST_ONCE)) {
                     eject(s, now);
                     return s;
                 }
                 continue;
             }
-            double slow = s.pace / warmth(s, now);
-            leastService = Math.min(leastService, s.pace);
+            double slow = s.serviceTimeNs / warmth(s, now);
+            leastService = Math.min(leastService, s.serviceTimeNs);
             weights[side] += weight(s);
-            double waits = s.blind ? 1 / Math.max(SPARE_FLOOR, s.spare) : 1;
+            double waits = s.lacksInFlightReport ? 1 / Math.max(SPARE_FLOOR, s.spareFraction) : 1;
             times[side] += weight(s) * (way[zone(s)] + slow * (load(s) + 1) * waits);
             if (slow * load(s) <= most - way[zone(s)] * ADMIT) {
                 fits.add(s);
@@ -358,24 +360,24 @@
         double total = open[0] + (cross ? open[1] : 0);
         for (Server s : servers) {
             if (fits.contains(s) && (cross || zone(s) == settings.zone())) {
-                s.tally += weight(s) / total;
-                best = best == null || s.tally > best.tally ? s : best;
+                s.rotationCredit += weight(s) / total;
+                best = best == null || s.rotationCredit > best.rotationCredit ? s : best;
             }
         }
-        if (best != null) { best.tally--; }
+        if (best != null) { best.rotationCredit--; }
         return best;
     }
 
     private double missed(int side, PendingRequest t, long now) {
         double expected = weights[side] > 0 ? times[side] / weights[side] : Double.MAX_VALUE;
-        double p = Math.exp(-Math.max(1, t.aim - now) / Math.max(1, expected));
+        double p = Math.exp(-Math.max(1, t.targetAtNs - now) / Math.max(1, expected));
         return p * t.profile.worth() / meanWorth * (1 - t.profile.lateShare());
     }
 
     private void heard(long now) {
         if (now - heardAt > 2 * PULSE_NS) {
             wokeAt = now;
-            servers.forEach(s -> s.owedSince = now);
+            servers.forEach(s -> s.awaitingSinceNs = now);
         }
         heardAt = now;
     }
@@ -397,8 +399,8 @@
                 now + request.leftNs());
         tickets.put(request.ticket(), t);
         if (t.profile.sequential() && request.key() != 0) {
-            t.turn = turns.computeIfAbsent(request.key(), k -> new KeyQueue());
-            t.turn.queue.add(t);
+            t.keyQueue = turns.computeIfAbsent(request.key(), k -> new KeyQueue());
+            t.keyQueue.requests.add(t);
         }
         retries = Math.min(RETRY_BURST, retries + RETRY_RATE);
         resends = Math.min(RESEND_BURST, resends + RESEND_RATE);
@@ -406,7 +408,7 @@
     }
 
     private void hold(PendingRequest t, long now) {
-        t.held = true;
+        t.hasWaited = true;
         int at = waiting.size();
         while (at > 0 && waiting.get(at - 1).profile.worth() <= t.profile.worth()) { at--; }
         waiting.add(at, t);
@@ -429,18 +431,19 @@
             keep = Math.exp((agedAt - now) / OTHERS_NS);
             double units = 0;
             for (Server s : servers) {
-                units += s.ready() ? s.listed.units() * warmth(s, now) : 0;
-                s.fresh *= keep;
-                s.others = s.fresh * s.heard + (1 - s.fresh) * (1 / usual[zone(s)] - 1);
+                units += s.isReady() ? s.listEntry.units() * warmth(s, now) : 0;
+                s.freshness *= keep;
+                s.otherLoad = s.freshness * s.reportedOtherLoad
+                        + (1 - s.freshness) * (1 / usual[zone(s)] - 1);
             }
             part = Math.max(PART_LEAST, UNIT_HOLDS * units / Math.max(1, settings.balancers()));
-            turns.values().removeIf(u -> u.queue.isEmpty() && now >= u.restUntil);
+            turns.values().removeIf(u -> u.requests.isEmpty() && now >= u.coolDownUntilNs);
             agedAt = now;
         }
     }
 
     private boolean offer(PendingRequest t, long now) {
-        if (t.over) { return true; }
+        if (t.isFinished) { return true; }
         if (!t.attempts.isEmpty() && !mayAttempt(t, now)) {
             end(t);
             return true;
@@ -467,12 +470,12 @@
     }
 
     private boolean hopeless(PendingRequest t, long now) {
-        double least = (t.held ? median : quick)[t.request.profile()];
-        if (!t.over && (t.aim - now < Math.min(least, t.profile.promiseNs() / 2.0)
-                || now >= t.deadline - HOLD_NS - 2 * settings.stepNs())) {
+        double least = (t.hasWaited ? median : quick)[t.request.profile()];
+        if (!t.isFinished && (t.targetAtNs - now < Math.min(least, t.profile.promiseNs() / 2.0)
+                || now >= t.deadlineNs - HOLD_NS - 2 * settings.stepNs())) {
             end(t);
         }
-        return t.over;
+        return t.isFinished;
     }
 
     private void arm(long now) {
@@ -489,31 +492,32 @@
 
     private void send(PendingRequest t, Server s, long now) {
         t.attempts.add(new Attempt(s, load(s), now));
-        t.out++;
+        t.inFlight++;
         allOut++;
-        s.owedSince = s.out++ == 0 ? now : s.owedSince;
-        s.tokens--;
+        s.awaitingSinceNs = s.inFlight++ == 0 ? now : s.awaitingSinceNs;
+        s.coldTokens--;
         sent++;
         zoneRate[zone(s)] += 1.0 / zoneReady[zone(s)];
         boolean cut = settings.mayCancel() && t.profile.lateShare() == 0
                 && !(t.profile.effect() == Effect.DEDUPLICATED && t.profile.scope() == Scope.ALL);
-        out.send(t.request.ticket(), s.id, cut ? Math.max(1, t.aim - now) : 0);
+        out.send(t.request.ticket(), s.id, cut ? Math.max(1, t.targetAtNs - now) : 0);
     }
 
     private boolean mayAttempt(PendingRequest t, long now) {
-        if (t.over || t.begun || now >= t.aim || t.attempts.size() >= settings.maxAttempts()
-                || now >= t.deadline - settings.stepNs()) {
+        if (t.isFinished || t.hasStreamBegun || now >= t.targetAtNs
+                || t.attempts.size() >= settings.maxAttempts()
+                || now >= t.deadlineNs - settings.stepNs()) {
             return false;
         }
         Attempt bound = bound(t);
         return bound == null || t.profile.effect() == Effect.IDEMPOTENT
                 || t.profile.effect() == Effect.DEDUPLICATED
-                && now - bound.sentAt < t.profile.windowNs() - settings.connectTimeoutNs()
+                && now - bound.sentAtNs < t.profile.windowNs() - settings.connectTimeoutNs()
                         - 2 * settings.stepNs();
     }
 
     private void again(PendingRequest t, long now) {
-        boolean broke = t.attempts.get(t.attempts.size() - 1).ended == Status.RESET;
+        boolean broke = t.attempts.get(t.attempts.size() - 1).endStatus == Status.RESET;
         Attempt bound = bound(t);
         if ((broke ? resends : retries) < 1 || !mayAttempt(t, now)
                 || servers.stream().noneMatch(s -> fit(s, t, bound, now))) {
@@ -542,8 +546,8 @@
     }
 
     private void close(PendingRequest t) {
-        t.over = true;
-        if (t.out == 0) {
+        t.isFinished = true;
+        if (t.inFlight == 0) {
             forget(t);
         } else if (settings.mayCancel()) {
             out.cancel(t.request.ticket(), t.attempts.size() - 1);
@@ -551,43 +555,43 @@
     }
 
     private static boolean inTurn(PendingRequest t, long now) {
-        return t.turn == null || t.turn.queue.peek() == t && now >= t.turn.restUntil;
+        return t.keyQueue == null || t.keyQueue.requests.peek() == t && now >= t.keyQueue.coolDownUntilNs;
     }
 
     private void forget(PendingRequest t) {
         tickets.remove(t.request.ticket());
-        if (t.turn != null) { t.turn.queue.remove(t); }
+        if (t.keyQueue != null) { t.keyQueue.requests.remove(t); }
     }
 
     @Override
     public void onStreamBegun(long now, int ticket, int attempt, int server, long elapsedNs) {
         PendingRequest t = tickets.get(ticket);
-        if (t != null) { t.begun = true; }
+        if (t != null) { t.hasStreamBegun = true; }
     }
 
     @Override
     public void onOutcome(long now, Outcome o) {
         heard(now);
         PendingRequest t = tickets.get(o.ticket());
-        if (t == null || o.attempt() >= t.attempts.size() || t.attempts.get(o.attempt()).ended != null) {
+        if (t == null || o.attempt() >= t.attempts.size() || t.attempts.get(o.attempt()).endStatus != null) {
             return;
         }
         Attempt a = t.attempts.get(o.attempt());
-        a.ended = o.status();
-        t.out--;
-        a.to.out--;
+        a.endStatus = o.status();
+        t.inFlight--;
+        a.sentTo.inFlight--;
         allOut--;
-        if (t.turn != null && (o.status() == Status.TIMEOUT || o.status() == Status.RESET
+        if (t.keyQueue != null && (o.status() == Status.TIMEOUT || o.status() == Status.RESET
                 || o.status() == Status.CANCELLED)) {
-            t.turn.restUntil = now + settings.turnGapNs();
+            t.keyQueue.coolDownUntilNs = now + settings.turnGapNs();
         }
         if (now != wokeAt) { learn(t, a, o, now); }
-        report(a.to, now, o.report());
-        if (o.over() && !t.over) {
+        report(a.sentTo, now, o.report());
+        if (o.over() && !t.isFinished) {
             close(t);
-        } else if (t.over && t.out == 0) {
+        } else if (t.isFinished && t.inFlight == 0) {
             forget(t);
-        } else if (!t.over && t.out == 0) {
+        } else if (!t.isFinished && t.inFlight == 0) {
             again(t, now);
         }
         drain(now);
@@ -604,32 +608,34 @@
     }
 
     private void learn(PendingRequest t, Attempt a, Outcome o, long now) {
-        Server s = a.to;
+        Server s = a.sentTo;
         if (o.status() == Status.OK) {
             quicken(zone(s), o.elapsedNs(), now);
-            double unit = Math.max(1000, o.elapsedNs() - way[zone(s)]) / (a.ahead + 1);
+            double unit = Math.max(1000, o.elapsedNs() - way[zone(s)]) / (a.loadAhead + 1);
             double m = median[t.request.profile()] == 0 ? o.elapsedNs() : median[t.request.profile()];
             median[t.request.profile()] = m * (o.elapsedNs() > m ? 1 + MEDIAN_STEP : 1 - MEDIAN_STEP);
             double q = quick[t.request.profile()] == 0 ? o.elapsedNs() : quick[t.request.profile()];
             quick[t.request.profile()] = q * (o.elapsedNs() > q ? 1 + MEDIAN_STEP * QUICK_SHARE
                     : 1 - MEDIAN_STEP * (1 - QUICK_SHARE));
-            double work = s.blind && o.report() != null ? 1e6 * o.report().recentMs() : Double.NaN;
+            double work = s.lacksInFlightReport && o.report() != null
+                    ? 1e6 * o.report().recentMs() : Double.NaN;
             boolean tardy = o.elapsedNs() > Math.max(t.profile.promiseNs() / 2.0, TARDY * Math.max(m, work));
             good += tardy ? 0 : 1;
             lost += tardy ? 1 : 0;
-            s.owedSince = now;
-            s.failures = 0;
-            s.ejected = false;
-            int kind = s.listed.kind() & 255;
-            double keep = Math.exp((s.learntAt - now) / PACE_NS);
-            s.learntAt = now;
+            s.awaitingSinceNs = now;
+            s.consecutiveFailures = 0;
+            s.isEjected = false;
+            int kind = s.listEntry.kind() & 255;
+            double keep = Math.exp((s.lastAnswerAtNs - now) / PACE_NS);
+            s.lastAnswerAtNs = now;
             unit *= warmth(s, now);
             double gain = 1 - Math.exp((kindAt[kind] - now) / KIND_NS);
             kindPace[kind] += gain * (unit - kindPace[kind]);
             kindAt[kind] = now;
-            s.seen = Math.min(PACE_ANSWERS, s.seen * keep + 1);
-            s.ownPace += (unit - s.ownPace) / s.seen;
-            s.pace = (s.seen * s.ownPace + KIND_ANSWERS * kindPace[kind]) / (s.seen + KIND_ANSWERS);
+            s.measuredAnswers = Math.min(PACE_ANSWERS, s.measuredAnswers * keep + 1);
+            s.measuredServiceTimeNs += (unit - s.measuredServiceTimeNs) / s.measuredAnswers;
+            s.serviceTimeNs = (s.measuredAnswers * s.measuredServiceTimeNs + KIND_ANSWERS * kindPace[kind])
+                    / (s.measuredAnswers + KIND_ANSWERS);
         }
         if (o.status() == Status.FULL || o.status() == Status.TIMEOUT || o.status() == Status.CANCELLED) {
             lost++;
@@ -637,12 +643,12 @@
             sent = Math.max(0, sent - 1);
         }
         if (o.status() == Status.FULL) {
-            crowd(zone(s), Math.max(minPromise, o.elapsedNs()) / s.pace, now);
+            crowd(zone(s), Math.max(minPromise, o.elapsedNs()) / s.serviceTimeNs, now);
         }
         if (o.status() != Status.OK && o.status() != Status.MOOT && o.status() != Status.TIMEOUT
                 && o.status() != Status.CANCELLED) {
-            s.owedSince = now;
-            if (++s.failures >= EJECT_FAILURES || o.status() == Status.CONNECT_FAILED) {
+            s.awaitingSinceNs = now;
+            if (++s.consecutiveFailures >= EJECT_FAILURES || o.status() == Status.CONNECT_FAILED) {
                 eject(s, now);
             }
         }
@@ -651,7 +657,7 @@
     @Override
     public void onWithdrawn(long now, int ticket) {
         PendingRequest t = tickets.get(ticket);
-        if (t != null && !t.over) { close(t); }
+        if (t != null && !t.isFinished) { close(t); }
     }
 
     @Override
