--- a/src/main/java/dewstage/Balancer.java
+++ b/src/main/java/dewstage/Balancer.java
@@ -3,31 +3,35 @@
 import java.util.List;
 
 /**
- * The whole interface of the decision module: what it is told at the start, the events that it hears and the
- * actions that it may take. One instance serves one proxy. It keeps no thread, no clock and no I/O of its
- * own; the host calls it from one thread at a time with a clock that never goes back, in nanoseconds from
- * any origin. Tickets and server ids are opaque 32-bit values; the sign means nothing.
+ * The whole interface of the decision module: its settings, the events that it receives and the actions that
+ * it may take. One instance serves one proxy. It has no thread, clock or I/O of its own; the host calls it
+ * from one thread at a time and passes the time of a monotonic clock, in ns from any origin. Tickets and
+ * server ids are opaque 32-bit values; negative ones are as valid as positive ones.
  */
 public interface Balancer {
 
-    /** May a request of a class run twice? */
+    /** Whether a request of a class may run twice. */
     enum Effect { IDEMPOTENT, DEDUPLICATED, AT_MOST_ONCE }
 
-    /** Which servers drop repeats of a DEDUPLICATED request. */
+    /** The servers among which a repeat of a DEDUPLICATED request is dropped. */
     enum Scope { ALL, ZONE, CELL }
 
-    /** State of a server in the list. */
+    /** State of a server in the member list. */
     enum State { GONE, READY, DRAINING }
 
-    /** What a list event is: changes only, a whole list, the whole list as cached, or a failed call. */
+    /**
+     * Content of a list event: changes only, a complete list, a complete list from a cache, or a failed call.
+     */
     enum ListKind { DELTA, FULL, CACHED, FAILED }
 
-    /** How an attempt ended. */
+    /** Status of a completed attempt. */
     enum Status {
         ERROR(false), OK(false), FULL(true), TIMEOUT(false), CONNECT_FAILED(true), RESET(false),
         CANCELLED(false), MOOT(true);
 
-        /** True if this outcome proves that the attempt never ran; FULL unless the settings deny it. */
+        /**
+         * Whether the status proves that the attempt never ran; for FULL, Settings.fullIsNoProof may deny it.
+         */
         public final boolean neverRan;
 
         Status(boolean neverRan) {
@@ -36,22 +40,44 @@
     }
 
     /**
-     * A class of request. Times in ns; lateShare is the share of the worth for an answer after the promise;
-     * windowNs is how long a repeat of a DEDUPLICATED request is dropped within its scope. Requests of all
-     * sequential classes with one key run one at a time, in the order taken.
+     * A class of request. Times are in ns.
+     *
+     * @param windowNs how long servers in the scope drop a repeat of a DEDUPLICATED request
+     * @param promiseNs target for the response time
+     * @param giveUpNs time-out of the client
+     * @param worth worth of an answer within the promise
+     * @param lateShare fraction of the worth that an answer after the promise still has
+     * @param sequential requests of all sequential classes with the same key run one at a time, in the order
+     *     in which they were accepted
      */
     record Profile(Effect effect, Scope scope, long windowNs, long promiseNs, long giveUpNs, double worth,
             double lateShare, boolean streamed, boolean sequential) {
-        /** May an attempt that may have run be repeated at any server with no second effect? */
+        /**
+         * Returns whether an attempt that may have run can be repeated at any server without a second effect.
+         */
         public boolean repeatsAnywhere() {
             return effect == Effect.IDEMPOTENT || effect == Effect.DEDUPLICATED && scope == Scope.ALL;
         }
     }
 
     /**
-     * What the deployment states at the start. Times in ns, the price as a fraction of the result.
-     * fullIsNoProof: FULL does not prove that an attempt never ran. turnGapNs: how long a key rests after an
-     * attempt that may still be running. connectTimeoutNs: an attempt reaches its server so late at the most.
+     * Settings of the deployment. Times are in ns.
+     *
+     * @param me index of this proxy among the balancers
+     * @param balancers number of proxies
+     * @param zone zone of this proxy
+     * @param askForList whether the module has to request the member list by the action subscribe
+     * @param mayCancel whether attempts may be cancelled
+     * @param startCapacity fraction of its capacity that a server has when it starts
+     * @param coldNs time from the start of a server until it is warm
+     * @param tipMultiple a cold server collapses under more than this multiple of its current capacity
+     * @param fallNs period over which that is counted
+     * @param askWithinNs if lists are requested, the time after which the proxy counts as notified of a
+     *     change
+     * @param crossZonePrice cost of sending a request to another zone, as a fraction of an average worth
+     * @param fullIsNoProof whether FULL does not prove that an attempt never ran
+     * @param turnGapNs cool-down of a key after an attempt that may still be running
+     * @param connectTimeoutNs maximum time until an attempt reaches its server
      */
     record Settings(int me, int balancers, int zone, List<Profile> profiles, boolean askForList,
             boolean mayCancel, int maxAttempts, long maxRetryAfterNs, double startCapacity, long coldNs,
@@ -62,35 +88,43 @@
         }
     }
 
-    /** A server as listed. bootNs is the clock time of its last start, 0 for long ago. */
+    /** A server of the member list. bootNs is the clock time of its last start, 0 for long ago. */
     record Member(int id, int kind, State state, long bootNs, int cell, int zone, double units) { }
 
-    /** A request; key 0 is none; leftNs is the time until the client abandons it; hintNs 0 is no hint. */
+    /**
+     * A request. A key of 0 means none; leftNs is the time until the client gives up; a hintNs of 0 means
+     * none.
+     */
     record Request(int ticket, int profile, int tenant, long key, long leftNs, long hintNs,
             boolean repeat) { }
 
-    /** A load report; NaN for each value that the servers do not report. */
+    /** A load report of a server; values that it does not contain are NaN. */
     record Report(double inflight, double queue, double util, double recentMs, double perSecond,
             double errorsPerSecond) { }
 
-    /** How an attempt ended; over: the request is finished; report may be null. */
+    /**
+     * Result of an attempt; over: the request is finished; report: the load report of the answer, or null.
+     */
     record Outcome(int ticket, int attempt, int server, Status status, long elapsedNs, boolean over,
             Report report) { }
 
-    /** Makes the balancer of one proxy. */
+    /** Creates the balancer of one proxy. */
     interface Factory {
-        Balancer create(Settings settings, long seed, long now, Actions out);
+        Balancer create(Settings settings, long seed, long now, Actions actions);
     }
 
-    /** What the module may do. All take effect at once, in the order called. */
+    /** The actions of the module. Each takes effect immediately, in the order of the calls. */
     interface Actions {
-        /** Starts an attempt, numbered 0, 1, 2... per ticket; timeoutNs 0 is until the client gives up. */
+        /**
+         * Starts an attempt, numbered 0, 1, 2... per ticket; a timeoutNs of 0 lasts until the client gives
+         * up.
+         */
         void send(int ticket, int server, long timeoutNs);
 
-        /** Final answer: refused, and harmless to try again; retryInNs 0 is no advice. */
+        /** Final answer: refused, a repeat is harmless; a retryInNs of 0 gives no advice when to repeat. */
         void refuse(int ticket, long retryInNs);
 
-        /** Final answer: failed, with no promise about the effect. */
+        /** Final answer: failed, the request may or may not have had its effect. */
         void fail(int ticket);
 
         void cancel(int ticket, int attempt);
@@ -108,28 +142,28 @@
 
         void subscribe(boolean on);
 
-        /** Asks for the whole list once. */
+        /** Requests the complete list once. */
         void reload();
     }
 
-    /** Discovery news, in order; members is empty for FAILED. */
+    /** A list event, in the order sent by discovery; members is empty for FAILED. */
     void onMembers(long now, ListKind kind, long version, List<Member> members);
 
     void onRequest(long now, Request request);
 
-    /** A streamed answer has begun: the attempt is the client's, no time-out or deadline counts any more. */
+    /** A streamed answer has begun: it goes to the client, and no time-out or deadline applies any more. */
     void onStreamBegun(long now, int ticket, int attempt, int server, long elapsedNs);
 
     void onOutcome(long now, Outcome outcome);
 
-    /** The client has left; no answer is owed. */
+    /** The client has left and expects no answer any more. */
     void onWithdrawn(long now, int ticket);
 
     void onTimer(long now, long token);
 
-    /** The result of a probe; not heard by a module that sends none. */
+    /** The result of a probe; ignored by a module that sends no probes. */
     default void onProbe(long now, int server, Status status, long elapsedNs, Report report) { }
 
-    /** A message of another proxy; not heard by a module that shares nothing. */
+    /** A message from another proxy; ignored by a module that sends none. */
     default void onPeer(long now, int peer, byte[] message) { }
 }
--- a/src/main/java/dewstage/Main.java
+++ b/src/main/java/dewstage/Main.java
@@ -11,8 +11,8 @@
 import java.util.Arrays;
 
 /**
- * The command line: serve is the real proxy, rehearse only warms one up, drill puts the module on the
- * simulator's wire, scale measures how cost grows with the fleet.
+ * The command line: serve runs the proxy, rehearse only warms one up, drill connects the decision module to
+ * the simulator, scale measures how the cost grows with the size of the fleet.
  */
 public final class Main {
     private Main() { }
@@ -23,7 +23,7 @@
 
     static int run(String[] args) {
         if (args.length > 0 && args[0].equals("scale")) {
-            // Named nowhere else: a class is loaded where it is first used, so a proxy loads none of it.
+            // Referenced only here: classes are loaded on first use, so a proxy loads none of this package.
             return Scale.run(Arrays.copyOfRange(args, 1, args.length));
         }
         return switch (args.length == 1 ? args[0] : "") {
@@ -37,11 +37,12 @@
         };
     }
 
-    /** A rehearsal goes through all that serving needs and ends: the build records the classes it loads. */
+    /** Runs the proxy, or only the rehearsal, in which the build records the classes that serving loads. */
     private static int serve(boolean rehearsalOnly) {
-        // Nobody records a flight here, and Netty's events for it cost a start 0.3 s on half a core.
+        // Flight Recorder is not used, and Netty's events for it add 0.3 s to a start on half a core.
         System.setProperty("io.netty.jfr.enabled", "false");
-        InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE); // it would look for others first
+        // Otherwise Netty searches for other logging libraries first.
+        InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         try {
             if (rehearsalOnly) {
                 Proxy.rehearse(System.getenv(), Policy::new);
@@ -63,7 +64,7 @@
             System.err.println("dewstage: " + e.getMessage());
             return 1;
         } catch (IOException e) {
-            System.err.println("dewstage: cannot read or write the wire: " + e.getMessage());
+            System.err.println("dewstage: cannot read from or write to the simulator: " + e.getMessage());
             return 1;
         }
     }
