--- a/src/test/java/dewstage/ModuleSizeTest.java
+++ b/src/test/java/dewstage/ModuleSizeTest.java
@@ -28,16 +28,16 @@
 class ModuleSizeTest {
     private static final int MAX_CODE_LINES_PER_FILE = 770;
     private static final int MAX_CODE_LINES_PER_MEMBER = 60;
-    private static final int MOST_COLUMNS = 110;
+    private static final int MAX_COLUMNS = 110;
     private static final Path SOURCES = Path.of("src/main/java/dewstage");
-    /** Beside the module: its interface, a plain map that any code may use, and the entry of the program. */
-    private static final List<String> OTHERS = List.of("Balancer.java", "IntMap.java", "Main.java");
+    /** Not part of the module: its interface, a general map, and the entry point of the program. */
+    private static final List<String> EXCLUDED = List.of("Balancer.java", "IntMap.java", "Main.java");
     /** A comment, or a literal, within which nothing begins a comment. */
     private static final Pattern COMMENT_OR_LITERAL = Pattern.compile(
             "(?<comment>//[^\\n]*|/\\*.*?\\*/)|\"\"\"(?:\\\\.|.)*?\"\"\"|\"(?:\\\\.|[^\"\\\\\\n])*\""
                     + "|'(?:\\\\.|[^'\\\\\\n])+'", Pattern.DOTALL);
 
-    /** The files that the deploy file names as the module. */
+    /** Returns the files that deploy/balancer.toml lists as the module. */
     private static List<Path> files() throws IOException {
         String line = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(l -> l.startsWith("policy = ")).findFirst().orElseThrow();
@@ -103,7 +103,7 @@
         TreeSet<Path> expected = new TreeSet<>();
         try (Stream<Path> sources = Files.list(SOURCES)) {
             sources.filter(p -> p.toString().endsWith(".java"))
-                    .filter(p -> !OTHERS.contains(p.getFileName().toString())).forEach(expected::add);
+                    .filter(p -> !EXCLUDED.contains(p.getFileName().toString())).forEach(expected::add);
         }
         assertTrue(expected.contains(SOURCES.resolve("Policy.java")), expected.toString());
         assertEquals(expected, new TreeSet<>(files()));
@@ -137,7 +137,7 @@
 
     @Test
     void noLineOfTheModuleIsTooLong() throws IOException {
-        assertEquals(List.of(), lines().stream().filter(l -> l.length() > MOST_COLUMNS).toList());
+        assertEquals(List.of(), lines().stream().filter(l -> l.length() > MAX_COLUMNS).toList());
     }
 
     @Test
