--- a/src/main/java/dewstage/Balancer.java
+++ b/src/main/java/dewstage/Balancer.java
@@ -19,9 +19,7 @@
     /** State of a server in the member list. */
     enum State { GONE, READY, DRAINING }
 
-    /**
-     * Content of a list event: changes only, a complete list, a complete list from a cache, or a failed call.
-     */
+    /** Content of a list event: changes only, a complete list, a cached complete list, or a failed call. */
     enum ListKind { DELTA, FULL, CACHED, FAILED }
 
     /** Status of a completed attempt. */
@@ -29,9 +27,7 @@
         ERROR(false), OK(false), FULL(true), TIMEOUT(false), CONNECT_FAILED(true), RESET(false),
         CANCELLED(false), MOOT(true);
 
-        /**
-         * Whether the status proves that the attempt never ran; for FULL, Settings.fullIsNoProof may deny it.
-         */
+        /** Whether the attempt provably never ran; for FULL, Settings.fullIsNoProof may deny it. */
         public final boolean neverRan;
 
         Status(boolean neverRan) {
@@ -52,9 +48,7 @@
      */
     record Profile(Effect effect, Scope scope, long windowNs, long promiseNs, long giveUpNs, double worth,
             double lateShare, boolean streamed, boolean sequential) {
-        /**
-         * Returns whether an attempt that may have run can be repeated at any server without a second effect.
-         */
+        /** Returns whether a repeat at any server is harmless even if an earlier attempt may have run. */
         public boolean repeatsAnywhere() {
             return effect == Effect.IDEMPOTENT || effect == Effect.DEDUPLICATED && scope == Scope.ALL;
         }
@@ -91,10 +85,7 @@
     /** A server of the member list. bootNs is the clock time of its last start, 0 for long ago. */
     record Member(int id, int kind, State state, long bootNs, int cell, int zone, double units) { }
 
-    /**
-     * A request. A key of 0 means none; leftNs is the time until the client gives up; a hintNs of 0 means
-     * none.
-     */
+    /** A request; key and hintNs are 0 for none; leftNs is the time until the client gives up. */
     record Request(int ticket, int profile, int tenant, long key, long leftNs, long hintNs,
             boolean repeat) { }
 
@@ -102,9 +93,7 @@
     record Report(double inflight, double queue, double util, double recentMs, double perSecond,
             double errorsPerSecond) { }
 
-    /**
-     * Result of an attempt; over: the request is finished; report: the load report of the answer, or null.
-     */
+    /** Result of an attempt. If over, the request is finished; the report may be null. */
     record Outcome(int ticket, int attempt, int server, Status status, long elapsedNs, boolean over,
             Report report) { }
 
@@ -115,10 +104,7 @@
 
     /** The actions of the module. Each takes effect immediately, in the order of the calls. */
     interface Actions {
-        /**
-         * Starts an attempt, numbered 0, 1, 2... per ticket; a timeoutNs of 0 lasts until the client gives
-         * up.
-         */
+        /** Starts an attempt, numbered 0, 1, 2... per ticket; timeoutNs 0 lasts until the client gives up. */
         void send(int ticket, int server, long timeoutNs);
 
         /** Final answer: refused, a repeat is harmless; a retryInNs of 0 gives no advice when to repeat. */
--- a/src/main/java/dewstage/Policy.java
+++ b/src/main/java/dewstage/Policy.java
@@ -9,9 +9,8 @@
 import java.util.SplittableRandom;
 
 /**
- * All decisions of the module. Its interface (types, events, actions) is in Balancer.java; the design follows
- * docs/DESIGN.md, "[Proposal] X-Backend-Info: backend load/state reporting header for informed load
- * balancing".
+ * All decisions of the module. Its interface (types, events, actions) is in Balancer.java; docs/DESIGN.md
+ * is on "[Proposal] X-Backend-Info: backend load/state reporting header for informed load balancing".
  *
  * <p>Normal path: load reports become factors (capacity x spare capacity, low while a server is cold), and
  * requests are distributed by smooth weighted rotation. The weight of a server is its factor, reduced by the
@@ -28,9 +27,7 @@
     private static final long FACTOR_UPDATE_INTERVAL_NS = 200_000_000L;
     /** Weight of a new report: averaging over two halves the noise without doubling the delay. */
     private static final double REPORT_GAIN = 0.5;
-    /**
-     * Lower limit of the spare fraction: a server at 0 would never get the request that brings a new report.
-     */
+    /** Lower limit of the spare fraction: a server at 0 would never get the request that updates it. */
     private static final double MIN_SPARE_FRACTION = 0.1;
     /** Maximum number of answers that the service time of a server is averaged over. */
     private static final double SERVICE_TIME_ANSWERS = 10;
@@ -38,9 +35,9 @@
     private static final double SERVICE_TIME_MEMORY_NS = 10e9;
     /** Number of answers that the service time of the kind counts for in that of a server. */
     private static final double KIND_ANSWERS = 4;
-    /** Memory of the average load of a zone, and of the counts of arrivals, sends and their results. */
+    /** Memory of the reports in the average load of a zone, and of the counts of arrivals and outcomes. */
     private static final double LOAD_MEMORY_NS = 2e9;
-    /** Memory of the service time of a kind; the average load of a zone decays towards idle with the same. */
+    /** Memory of the service time of a kind, and of the average load of a zone, which decays towards idle. */
     private static final double KIND_MEMORY_NS = 5e9;
     /** Memory of the shortest response time of a zone: long, because network latency hardly ever changes. */
     private static final double LATENCY_MEMORY_NS = 60e9;
@@ -55,23 +52,15 @@
     private static final double PARALLELISM_GAIN = 0.2;
     /** Failures in a row that eject a server; one or two also happen to a healthy server. */
     private static final int EJECTION_FAILURES = 4;
-    /**
-     * Maximum fraction of the ready servers to eject: ejecting most of an overloaded fleet overloads the
-     * rest.
-     */
+    /** Maximum ejected fraction of the ready servers: ejecting most of a busy fleet overloads the rest. */
     private static final double MAX_EJECTED_FRACTION = 0.34;
     /** Number of expected gaps between its answers after which a server counts as unresponsive. */
     private static final double UNRESPONSIVE_GAPS = 6;
     /** Fraction of the shortest promise that is added to these gaps. */
     private static final double UNRESPONSIVE_PROMISE_FRACTION = 0.8;
-    /**
-     * Delay before the first trial of an ejected server; doubles with each failed trial up to 4 times this.
-     */
+    /** Delay before the first trial of an ejected server; doubles per failed trial, up to 4 times this. */
     private static final long FIRST_TRIAL_DELAY_NS = 500_000_000L;
-    /**
-     * Fraction of the cold budget that this proxy uses; the rest is for bursts and for peers with a different
-     * view.
-     */
+    /** Fraction of the cold budget to use; the rest covers bursts and peers with a different view. */
     private static final double COLD_BUDGET_FRACTION = 0.6;
     /** Retry budget: further attempts earned by each request. */
     private static final double RETRIES_PER_REQUEST = 0.02;
@@ -84,9 +73,7 @@
     private static final double RESENDS_PER_REQUEST = 0.3;
     /** Maximum number of these attempts that are saved up. */
     private static final double MAX_RESEND_BUDGET = 10;
-    /**
-     * A server has capacity while the work ahead takes at most this fraction of the time left to the target.
-     */
+    /** A server has capacity while the work ahead takes at most this fraction of the time left. */
     private static final double MAX_WORK_AHEAD_FRACTION = 0.25;
     /** Admission: maximum recent sends per served request while sends are being lost. */
     private static final double MAX_SENDS_PER_SERVED = 1.2;
@@ -125,9 +112,7 @@
     private static final double WIDE_WINDOW = 256;
     /** Freshness below which a report no longer changes any sum. */
     private static final double MIN_FRESHNESS = 1e-30;
-    /**
-     * Golden ratio less 1: its multiples spread the subsets evenly over the servers, whatever their numbers.
-     */
+    /** Golden ratio less 1: its multiples spread any number of subsets evenly over the servers. */
     private static final double GOLDEN_RATIO = 0.6180339887;
     /** Interval at which queued requests are checked, in addition to the check after each outcome. */
     private static final long WAITING_CHECK_INTERVAL_NS = 20_000_000L;
@@ -152,9 +137,7 @@
     /** Maximum of the same time as a fraction of the time for asking (settings key ask_within_ns). */
     private static final double CALL_SPREAD_FRACTION = 0.2;
 
-    /**
-     * Interval of the proxy's own heartbeat; an event gap of more than twice this means that it was paused.
-     */
+    /** Interval of the proxy's heartbeat; without any event for twice this, the proxy was paused. */
     private static final long HEARTBEAT_INTERVAL_NS = 50_000_000L;
 
     /** Timer token of the check of queued requests; lower tokens are the numbers of calls to discovery. */
@@ -263,7 +246,7 @@
 
     private void callDiscovery(long now) {
         actions.subscribe(true);
-        // Repeated well before a list that did not arrive would count as received.
+        // Repeats the call well before a list that did not arrive would count as received.
         actions.timer(now + settings.askWithinNs() / 2, ++callNumber);
     }
 
@@ -322,15 +305,14 @@
         return server.inFlight / server.parallelism + otherLoad(server);
     }
 
-    /**
-     * Returns the fraction of its capacity that a server is certain to have during slow start; 1 when warm.
-     */
+    /** Returns the fraction of its capacity that a server surely has during slow start; 1 when warm. */
     private double warmFraction(Server server, long now) {
         double coldFraction = (now - server.bootNs) / (double) settings.coldNs();
         return server.bootNs <= 0 || coldFraction >= 1 ? 1
                 : settings.startCapacity() + (1 - settings.startCapacity()) * Math.max(0, coldFraction);
     }
 
+    /** Updates the estimates of a server from a load report; ignores null. */
     private void applyReport(Server server, long now, Report report) {
         if (report == null) { return; }
         server.lacksInFlightReport = !Double.isFinite(report.inflight());
@@ -352,8 +334,8 @@
             updateZoneLoad(server.zone, otherLoad, now);
         }
         if (report.perSecond() > 0 && report.util() > 0 && report.perSecond() != server.lastThroughput) {
-            // Throughput divided by utilization is the capacity in requests per second, including the time
-            // that requests wait for something else; multiplied by the service time it is the parallelism.
+            // Throughput divided by utilization is the capacity in requests per second, whatever else the
+            // requests wait for. Multiplied by the service time it is the parallelism.
             server.lastThroughput = report.perSecond();
             server.throughput += PARALLELISM_GAIN * (report.perSecond() - server.throughput);
             server.utilization += PARALLELISM_GAIN * (Math.min(1, report.util()) - server.utilization);
@@ -406,7 +388,9 @@
                 + UNRESPONSIVE_GAPS * server.serviceTimeNs * (1 + otherLoad(server) / server.inFlight);
     }
 
-    /** Ejects a server, or delays the next trial of an ejected one. Does nothing if too many are ejected. */
+    /**
+     * Ejects a server, or delays the next trial of an ejected one. Does nothing if that would eject too many.
+     */
     private void eject(Server server, long now) {
         if (server.isEjected || fleet.ejectedCount() + 1 <= fleet.readyCount() * MAX_EJECTED_FRACTION) {
             server.trialDelayNs = server.isEjected
@@ -464,10 +448,7 @@
                 MIN_SUBSET_SIZE * Math.max(1, fleet.size() / (double) settings.balancers()));
     }
 
-    /**
-     * Returns the first attempt that may have run, which restricts all further ones, or null if none may
-     * have.
-     */
+    /** Returns the first attempt that may have run, which restricts all further ones, or null. */
     private Attempt bindingAttempt(PendingRequest pending) {
         for (Attempt attempt : pending.attempts) {
             boolean certainlyNeverRan = attempt.endStatus != null && attempt.endStatus.neverRan
@@ -500,6 +481,7 @@
         return server == null && minServiceTimeNs == Double.MAX_VALUE ? pick(pending, true, now) : server;
     }
 
+    /** Picks from the wide window or from the subset; sets minServiceTimeNs. */
     private Server pick(PendingRequest pending, boolean isWide, long now) {
         Attempt binding = bindingAttempt(pending);
         Server trial = ejectAndFindTrial(pending, binding, isWide, now);
@@ -532,10 +514,7 @@
         return isWide ? Math.max(WIDE_WINDOW, subsetSize()) : subsetSize() - (isOwnZone ? 0 : 1);
     }
 
-    /**
-     * Returns whether the next attempt may go to one zone or one cell only, that of an attempt that may have
-     * run.
-     */
+    /** Returns whether the next attempt has to stay in the zone or cell of one that may have run. */
     private static boolean isBoundToScope(PendingRequest pending, Attempt binding) {
         return binding != null && pending.profile.effect() == Effect.DEDUPLICATED
                 && pending.profile.scope() != Scope.ALL;
@@ -685,6 +664,7 @@
         if (!trySend(pending, now)) { enqueue(pending, now); }
     }
 
+    /** Queues a request until a server has capacity. */
     private void enqueue(PendingRequest pending, long now) {
         pending.hasWaited = true;
         int index = waiting.size();
@@ -765,9 +745,9 @@
     }
 
     /**
-     * Returns whether responses are slow and this proxy has its share of attempts in flight. A server at
-     * which it has none in flight looks idle, to each proxy of the fleet: with many proxies, one request from
-     * each overloads the server.
+     * Returns whether responses are slow and this proxy has its share of attempts in flight. A server looks
+     * idle to every proxy that has nothing in flight there, and in a large fleet one request from each proxy
+     * overloads it.
      */
     private boolean isOverInFlightLimit(PendingRequest pending) {
         int profileIndex = pending.request.profile();
@@ -802,8 +782,7 @@
     }
 
     /**
-     * Tries to send the queued requests; after one of a class finds no capacity, the rest are only checked
-     * for time.
+     * Tries to send the queued requests; once a class finds no capacity, only the time of the rest counts.
      */
     private void sendWaiting(long now) {
         profileWithoutCapacity = null;
@@ -822,8 +801,7 @@
         recentSends++;
         // Divided by the current size of the zone: a zone that shrinks must not get a higher cold budget.
         server.zone.sendsPerServer += 1.0 / server.zone.readyServers.size();
-        // Cancels an attempt whose answer would be worth nothing, unless a repeat would then run
-        // concurrently.
+        // Cancels an attempt whose answer would be worth nothing, unless a repeat would run beside it.
         boolean isCancelledWhenLate = settings.mayCancel() && pending.profile.lateShare() == 0
                 && !(pending.profile.effect() == Effect.DEDUPLICATED && pending.profile.scope() == Scope.ALL);
         actions.send(pending.request.ticket(), server.id,
@@ -871,15 +849,13 @@
         retryBudget -= wasReset ? 0 : 1;
     }
 
+    /** Returns whether any server in the wide window is eligible, with or without capacity. */
     private boolean hasEligible(Candidates candidates, PendingRequest pending, Attempt binding, long now) {
         collectCandidates(candidates, pending, binding, true);
         return candidates.considered.stream().anyMatch(server -> isEligible(server, pending, binding, now));
     }
 
-    /**
-     * Gives the final answer to a request that was not served: refused if a repeat is harmless, otherwise
-     * failed.
-     */
+    /** Gives the final answer to an unserved request: refused if a repeat is harmless, otherwise failed. */
     private void finishUnserved(PendingRequest pending) {
         if (bindingAttempt(pending) == null || pending.profile.repeatsAnywhere()) {
             actions.refuse(pending.request.ticket(), settings.maxRetryAfterNs());
