--- a/src/main/java/dewstage/Fleet.java
+++ b/src/main/java/dewstage/Fleet.java
@@ -32,9 +32,9 @@
     private final List<Server> inUse = new ArrayList<>();
     /** The servers that were not warm when last checked. */
     private final List<Server> cold = new ArrayList<>();
-    /** The servers that are no longer listed; one stays until its attempts in flight have completed. */
+    /** The servers that are gone from the list; each stays until its attempts in flight have completed. */
     private final Set<Server> leaving = new LinkedHashSet<>();
-    /** Offset at which this proxy's window begins in each zone, as a fraction of the ready servers. */
+    /** This proxy's window of a zone begins at the fraction 1 - phase of its ready servers. */
     private final double phase;
     private final long startedAtNs;
     /** Sum of the capacity units of the ready servers that are warm. */
@@ -228,7 +228,7 @@
         return (int) Math.ceil(size * (1 - phase)) % size;
     }
 
-    /** Returns the number of servers in a window; its start lies up to one rank before the first server. */
+    /** Returns the number of servers in a window, which begins up to one rank before its first server. */
     private int windowSize(int size, double width) {
         double start = size * (1 - phase);
         return (int) Math.max(0, Math.min(size, Math.ceil(width - (Math.ceil(start) - start))));
