--- a/src/main/java/dewstage/proxy/Backends.java
+++ b/src/main/java/dewstage/proxy/Backends.java
@@ -303,7 +303,7 @@
                         channel.pipeline().addLast(c.decoder, new HttpRequestEncoder(), c);
                     }
                 }).connect();
-        if (Sockets.noneFor(connect)) {
+        if (Sockets.hasNoDescriptor(connect)) {
             sockets.release();
             loop.execute(() -> a.end(Status.MOOT, null, null)); // no fault of the backend's
             return;
--- a/src/main/java/dewstage/proxy/Discovery.java
+++ b/src/main/java/dewstage/proxy/Discovery.java
@@ -303,7 +303,7 @@
         ChannelFuture connect = new Bootstrap().group(loop).channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) connectMs(config.drainGraceNs()))
                 .handler(new ChannelInboundHandlerAdapter()).connect(address);
-        boolean noDescriptor = Sockets.noneFor(connect);
+        boolean noDescriptor = Sockets.hasNoDescriptor(connect);
         connect.addListener(f -> {
             if (!noDescriptor) {
                 connect.channel().close();
--- a/src/main/java/dewstage/proxy/DiscoveryWatch.java
+++ b/src/main/java/dewstage/proxy/DiscoveryWatch.java
@@ -116,7 +116,7 @@
                     }
                 }).connect(address);
         channel = connect.channel();
-        if (Sockets.noneFor(connect)) {
+        if (Sockets.hasNoDescriptor(connect)) {
             Log.line("discovery cannot be called: " + connect.cause());
             end(End.NO_DESCRIPTOR, "no descriptor");
             return;
--- a/src/main/java/dewstage/proxy/Sockets.java
+++ b/src/main/java/dewstage/proxy/Sockets.java
@@ -61,7 +61,7 @@
      * True of a connect that got no descriptor, whatever the shares say: it has no channel, so nothing that
      * waits for the channel's end ever hears of it.
      */
-    static boolean noneFor(ChannelFuture connect) {
+    static boolean hasNoDescriptor(ChannelFuture connect) {
         return connect.cause() instanceof ChannelException;
     }
 
--- a/src/test/java/dewstage/proxy/BackendsTest.java
+++ b/src/test/java/dewstage/proxy/BackendsTest.java
@@ -32,8 +32,8 @@
     /** A request on its way: the module has sent it to the backend. */
     private Request sent(Peer.Wire client) throws Exception {
         client.write(Setup.get());
-        Request r = setup.request();
-        setup.act(() -> setup.actions.send(r.ticket(), server, 0));
+        Request r = setup.awaitRequest();
+        setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
         return r;
     }
 
@@ -48,18 +48,18 @@
             assertTrue(request.matches("(?s).*Request-Timeout: 29\\.\\d+\r\n.*"), request);
             wire.write(OK.replace("Content", "Server-Load: inflight=7,util=0.61\r\nContent"));
             assertTrue(client.read().endsWith("\r\n\r\nbody"));
-            Outcome o = setup.outcome();
+            Outcome o = setup.awaitOutcome();
             assertEquals(Status.OK, o.status());
             assertEquals(r.ticket(), o.ticket());
             assertTrue(o.over());
             assertEquals(7, o.report().inflight());
             assertEquals(0.61, o.report().util());
-            setup.clock.pass(Backends.REST_NS);
+            setup.clock.advance(Backends.REST_NS);
             sent(client);
             wire.read(); // on the same connection
             wire.write(OK);
             assertTrue(client.read().endsWith("body"));
-            assertTrue(backend.quiet());
+            assertTrue(backend.hasNoPendingConnection());
         }
     }
 
@@ -76,7 +76,7 @@
             wire.read();
             wire.write("HTTP/1.1 " + line + "\r\n" + (header.isEmpty() ? "" : header + "\r\n")
                     + "Content-Length: 0\r\n\r\n");
-            Outcome o = setup.outcome();
+            Outcome o = setup.awaitOutcome();
             assertEquals(status, o.status());
             assertFalse(o.over());
         }
@@ -93,10 +93,10 @@
             Peer.Wire wire = backend.accept();
             wire.read();
             wire.write(answer.replace("|", "\r\n")).close();
-            Outcome o = setup.outcome();
+            Outcome o = setup.awaitOutcome();
             assertEquals(Status.RESET, o.status());
             assertFalse(o.over());
-            setup.act(() -> setup.actions.fail(r.ticket()));
+            setup.runOnLoop(() -> setup.actions.fail(r.ticket()));
             assertTrue(client.read().startsWith("HTTP/1.1 502 "));
         }
     }
@@ -120,11 +120,11 @@
             Peer.Wire wire = backend.accept();
             wire.read();
             wire.write(answer.replace("|", "\r\n"));
-            Outcome o = setup.outcome();
+            Outcome o = setup.awaitOutcome();
             assertEquals(Status.RESET, o.status());
             assertFalse(o.over());
-            assertTrue(wire.ended());
-            setup.act(() -> setup.actions.fail(r.ticket()));
+            assertTrue(wire.awaitClose());
+            setup.runOnLoop(() -> setup.actions.fail(r.ticket()));
             assertTrue(client.read().startsWith("HTTP/1.1 502 "));
         }
     }
@@ -137,8 +137,8 @@
                 Peer.Wire wire = backend.accept();
                 wire.read();
                 wire.write((endless.startsWith("X") ? "HTTP/1.1 200 OK\r\n" : "") + endless.repeat(400));
-                assertEquals(Status.RESET, setup.outcome().status());
-                setup.act(() -> setup.actions.fail(r.ticket()));
+                assertEquals(Status.RESET, setup.awaitOutcome().status());
+                setup.runOnLoop(() -> setup.actions.fail(r.ticket()));
                 assertTrue(client.read().startsWith("HTTP/1.1 502 "));
             }
         }
@@ -152,8 +152,8 @@
             first.read();
             first.write("HTTP/1.1 103 Early\r\nLink: </a>\r\n\r\n" + OK + OK.substring(0, OK.length() - 2));
             assertTrue(client.read().endsWith("\r\n\r\nbody"));
-            assertEquals(Status.OK, setup.outcome().status());
-            assertTrue(first.ended());
+            assertEquals(Status.OK, setup.awaitOutcome().status());
+            assertTrue(first.awaitClose());
             sent(client);
             Peer.Wire second = backend.accept();
             second.read();
@@ -175,11 +175,11 @@
     @Test
     void aSecondAnswerThatComesLateIsNeverTheAnswerToTheNextRequest() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            setup.clock.stop();
+            setup.clock.freeze();
             Peer.Wire first = serveOne(client);
             client.write(Setup.get());
-            Request next = setup.request();
-            setup.act(() -> {
+            Request next = setup.awaitRequest();
+            setup.runOnLoop(() -> {
                 setup.actions.send(next.ticket(), server, 0);
                 try {
                     first.write(OK); // on the loop: it is there when the sockets are looked at next
@@ -187,7 +187,7 @@
                     throw new UncheckedIOException(e);
                 }
             });
-            assertTrue(first.ended());
+            assertTrue(first.awaitClose());
             Peer.Wire second = backend.accept();
             second.read();
             second.write(OK.replace("body", "next"));
@@ -199,16 +199,16 @@
     @Test
     void anAttemptCalledOffWhileItsConnectionRestsIsNeverWritten() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            setup.clock.stop();
+            setup.clock.freeze();
             Peer.Wire first = serveOne(client);
-            assertEquals(Status.OK, setup.outcome().status());
+            assertEquals(Status.OK, setup.awaitOutcome().status());
             client.write(Setup.get());
-            Request next = setup.request();
-            setup.act(() -> {
+            Request next = setup.awaitRequest();
+            setup.runOnLoop(() -> {
                 setup.actions.send(next.ticket(), server, 0);
                 setup.actions.cancel(next.ticket(), 0);
             });
-            assertEquals(Status.CANCELLED, setup.outcome().status());
+            assertEquals(Status.CANCELLED, setup.awaitOutcome().status());
             assertEquals("", first.read());
         }
     }
@@ -227,7 +227,7 @@
             assertTrue(one.read().endsWith("body"));
             second.write(OK);
             assertTrue(two.read().endsWith("body"));
-            setup.clock.pass(Backends.REST_NS);
+            setup.clock.advance(Backends.REST_NS);
             sent(one);
             assertTrue(first.read().startsWith("GET "));
         }
@@ -242,7 +242,7 @@
             first.write(OK);
             assertTrue(client.read().endsWith("body"));
             first.write("H");
-            assertTrue(first.ended());
+            assertTrue(first.awaitClose());
             sent(client);
             backend.accept().read();
         }
@@ -257,7 +257,7 @@
             wire.read();
             wire.write("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
             assertTrue(client.read().startsWith("HTTP/1.1 404 "));
-            Outcome o = setup.outcome();
+            Outcome o = setup.awaitOutcome();
             assertEquals(Status.MOOT, o.status());
             assertTrue(o.over());
         }
@@ -270,8 +270,8 @@
             Peer.Wire wire = backend.accept();
             wire.read();
             wire.reset();
-            assertEquals(Status.RESET, setup.outcome().status());
-            assertTrue(backend.quiet()); // nothing was sent again
+            assertEquals(Status.RESET, setup.awaitOutcome().status());
+            assertTrue(backend.hasNoPendingConnection()); // nothing was sent again
         }
     }
 
@@ -280,7 +280,7 @@
         backend.close();
         try (Peer.Wire client = setup.client()) {
             sent(client);
-            assertEquals(Status.CONNECT_FAILED, setup.outcome().status());
+            assertEquals(Status.CONNECT_FAILED, setup.awaitOutcome().status());
         }
     }
 
@@ -288,14 +288,14 @@
     void aTimeoutIsTheModulesAndClosesTheConnection() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get());
-            Request r = setup.request();
-            setup.act(() -> setup.actions.send(r.ticket(), server, 300_000_000L));
+            Request r = setup.awaitRequest();
+            setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 300_000_000L));
             Peer.Wire wire = backend.accept();
             wire.read();
-            Outcome o = setup.outcome();
+            Outcome o = setup.awaitOutcome();
             assertEquals(Status.TIMEOUT, o.status());
             assertFalse(o.over());
-            assertTrue(wire.ended());
+            assertTrue(wire.awaitClose());
         }
     }
 
@@ -305,17 +305,17 @@
             Request r = sent(client);
             Peer.Wire wire = backend.accept();
             wire.read();
-            setup.act(() -> {
+            setup.runOnLoop(() -> {
                 setup.actions.cancel(r.ticket(), 0);
                 setup.actions.cancel(r.ticket(), 0);
             });
-            assertEquals(Status.CANCELLED, setup.outcome().status());
-            assertTrue(wire.ended());
-            setup.act(() -> setup.actions.refuse(r.ticket(), 1_200_000_000L));
+            assertEquals(Status.CANCELLED, setup.awaitOutcome().status());
+            assertTrue(wire.awaitClose());
+            setup.runOnLoop(() -> setup.actions.refuse(r.ticket(), 1_200_000_000L));
             String answer = client.read();
             assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
             assertTrue(answer.contains("Retry-After: 1.200000\r\n"), answer);
-            assertTrue(setup.events.stream().noneMatch(t -> t.what().equals("outcome")));
+            assertTrue(setup.events.stream().noneMatch(t -> t.kind().equals("outcome")));
         }
     }
 
@@ -327,8 +327,8 @@
             wire.read();
             wire.write(OK.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
             client.read();
-            assertEquals(Status.OK, setup.outcome().status());
-            assertTrue(wire.ended());
+            assertEquals(Status.OK, setup.awaitOutcome().status());
+            assertTrue(wire.awaitClose());
             sent(client);
             Peer.Wire second = backend.accept();
             second.read();
@@ -342,13 +342,13 @@
         setup.close();
         setup = new Setup().start(Config.parse(Setup.json(discovery.hostPort(), backend.hostPort(), 6, 5000),
                 Map.of())); // two of them for backends
-        server = setup.backend();
+        server = setup.backendId();
         try (Peer.Wire first = setup.client(); Peer.Wire second = setup.client();
                 Peer.Wire third = setup.client()) {
             sent(first);
             sent(second);
             Request r = sent(third);
-            Outcome o = setup.outcome();
+            Outcome o = setup.awaitOutcome();
             assertEquals(r.ticket(), o.ticket());
             assertEquals(Status.MOOT, o.status()); // says nothing of the backend
         }
@@ -360,7 +360,7 @@
         Message get = new Message(HttpMethod.GET, "/look/1", new DefaultHttpHeaders(), new byte[0]);
         for (int s : servers) {
             CompletableFuture<Status> end = new CompletableFuture<>();
-            setup.act(() -> backends.send(s, get, 20_000_000_000L, () -> true,
+            setup.runOnLoop(() -> backends.send(s, get, 20_000_000_000L, () -> true,
                     (a, status, r, answer) -> end.complete(status)));
             Peer.Wire wire = backend.accept();
             wire.read();
@@ -390,30 +390,30 @@
     void ofBackendsThatAreListedAndNotInUseNothingIsKept() throws Exception {
         Backends backends = backends(1024);
         List<Discovery.Listed> list = IntStream.range(0, 1000).mapToObj(n -> listed(n, State.READY)).toList();
-        setup.act(() -> backends.apply(new Discovery.ListUpdate(ListKind.FULL, 1, list)));
+        setup.runOnLoop(() -> backends.apply(new Discovery.ListUpdate(ListKind.FULL, 1, list)));
         assertEquals(0, inUse(backends));
-        setup.clock.stop();
+        setup.clock.freeze();
         List<Peer.Wire> wires = served(backends, 3, 4, 5);
         assertEquals(3, inUse(backends));
         List<Discovery.Listed> change = List.of(listed(4, State.GONE));
-        setup.act(() -> backends.apply(new Discovery.ListUpdate(ListKind.DELTA, 2, change)));
-        assertTrue(wires.get(1).ended(), "idle at one that is gone");
+        setup.runOnLoop(() -> backends.apply(new Discovery.ListUpdate(ListKind.DELTA, 2, change)));
+        assertTrue(wires.get(1).awaitClose(), "idle at one that is gone");
         assertEquals(2, inUse(backends));
-        setup.clock.pass(15_000_000_000L); // the keep-alive time: all idle ones are closed
-        assertTrue(wires.get(0).ended() && wires.get(2).ended());
+        setup.clock.advance(15_000_000_000L); // the keep-alive time: all idle ones are closed
+        assertTrue(wires.get(0).awaitClose() && wires.get(2).awaitClose());
         assertEquals(0, inUse(backends));
     }
 
     @Test
     void ofAllIdleConnectionsTheOneIdleLongestMakesRoom() throws Exception {
         Backends backends = backends(6); // two of them for backends
-        setup.clock.stop();
+        setup.clock.freeze();
         List<Peer.Wire> wires = new ArrayList<>(served(backends, 9, 8));
-        setup.clock.pass(Backends.REST_NS);
+        setup.clock.advance(Backends.REST_NS);
         wires.addAll(served(backends, 7));
-        assertTrue(wires.get(0).ended());
-        setup.act(() -> backends.closeIdle(7));
-        assertTrue(wires.get(2).ended());
+        assertTrue(wires.get(0).awaitClose());
+        setup.runOnLoop(() -> backends.closeIdle(7));
+        assertTrue(wires.get(2).awaitClose());
         assertEquals(1, inUse(backends), "the second is idle still");
     }
 
@@ -421,13 +421,13 @@
     @Test
     void oneThatHasDrainedForLongIsSentNothing() throws Exception {
         Member drains = new Member(server, 0, State.DRAINING, 0, 3, 0, 1);
-        setup.clock.stop();
-        setup.act(() -> setup.proxy.onListUpdate(new Discovery.ListUpdate(ListKind.DELTA, 42,
+        setup.clock.freeze();
+        setup.runOnLoop(() -> setup.proxy.onListUpdate(new Discovery.ListUpdate(ListKind.DELTA, 42,
                 List.of(new Discovery.Listed(drains, backend.address())))));
-        setup.clock.pass(500_000_001L); // the grace, and more
+        setup.clock.advance(500_000_001L); // the grace, and more
         try (Peer.Wire client = setup.client()) {
             sent(client);
-            assertEquals(Status.MOOT, setup.outcome().status());
+            assertEquals(Status.MOOT, setup.awaitOutcome().status());
             assertEquals("", backend.accept().read());
         }
     }
--- a/src/test/java/dewstage/proxy/CrowdingTest.java
+++ b/src/test/java/dewstage/proxy/CrowdingTest.java
@@ -28,7 +28,7 @@
             for (int i = 0; i < 9; i++) {
                 clients.add(setup.client());
             }
-            assertTrue(clients.get(0).ended() && clients.get(1).ended());
+            assertTrue(clients.get(0).awaitClose() && clients.get(1).awaitClose());
             setup.proxy.drain().get(20, TimeUnit.SECONDS);
         } finally {
             System.setErr(before);
@@ -47,11 +47,11 @@
                 Setup setup = new Setup().start(sevenPlaces(discovery, backend))) {
             for (int i = 0; i < 7; i++) {
                 clients.add(setup.client().write(Setup.get()));
-                Request r = setup.request();
-                setup.act(() -> setup.actions.fail(r.ticket()));
+                Request r = setup.awaitRequest();
+                setup.runOnLoop(() -> setup.actions.fail(r.ticket()));
                 assertTrue(clients.get(i).read().startsWith("HTTP/1.1 502 "));
             }
-            setup.act(() -> { // while the loop is held up both come, and are accepted in one go
+            setup.runOnLoop(() -> { // while the loop is held up both come, and are accepted in one go
                 try {
                     clients.add(setup.client());
                     clients.add(setup.client());
@@ -59,11 +59,11 @@
                     throw new UncheckedIOException(e);
                 }
             });
-            assertTrue(clients.get(0).ended() && clients.get(1).ended());
+            assertTrue(clients.get(0).awaitClose() && clients.get(1).awaitClose());
             for (int i = 7; i < 9; i++) {
                 clients.get(i).write(Setup.get());
-                Request r = setup.request();
-                setup.act(() -> setup.actions.fail(r.ticket()));
+                Request r = setup.awaitRequest();
+                setup.runOnLoop(() -> setup.actions.fail(r.ticket()));
                 assertTrue(clients.get(i).read().startsWith("HTTP/1.1 502 "));
             }
         } finally {
--- a/src/test/java/dewstage/proxy/DiscoveryTest.java
+++ b/src/test/java/dewstage/proxy/DiscoveryTest.java
@@ -30,7 +30,7 @@
     @BeforeEach
     void hearTheKnownList() throws Exception {
         known = server;
-        assertEquals(ListKind.CACHED, setup.next("kind", ListKind.class));
+        assertEquals(ListKind.CACHED, setup.awaitEvent("kind", ListKind.class));
     }
 
     private static String chunk(String text) {
@@ -45,7 +45,7 @@
     }
 
     private Member member() throws Exception {
-        return (Member) setup.next("members", List.class).get(0);
+        return (Member) setup.awaitEvent("members", List.class).get(0);
     }
 
     @Test
@@ -56,19 +56,19 @@
         watch.write(HEAD + chunk("\n" + line.substring(0, 30)) + chunk(line.substring(30)));
         Member m = member();
         assertEquals(new Member(known, 1, State.DRAINING, 1_700_000_000_000_000_000L, 3, 1, 0.5), m);
-        assertEquals(ListKind.DELTA, setup.next("kind", ListKind.class));
+        assertEquals(ListKind.DELTA, setup.awaitEvent("kind", ListKind.class));
         String cut = list(43, false, "s-1", "in_service").trim();
         watch.write(chunk(cut.substring(0, cut.length() - 1))).close(); // all but its end: no news
         Peer.Wire second = discovery.accept();
         assertTrue(second.read().startsWith("GET /catalog/members?stream=1&index=42 "));
         second.write(HEAD + chunk(list(44, true, "s-2", "in_service")));
-        List<?> changes = setup.next("members", List.class);
+        List<?> changes = setup.awaitEvent("members", List.class);
         assertEquals(2, changes.size());
         assertNotEquals(known, ((Member) changes.get(0)).id());
         assertEquals(State.READY, ((Member) changes.get(0)).state());
         // Not named by the whole list: gone, and said so.
         assertEquals(new Member(known, 1, State.GONE, 1_700_000_000_000_000_000L, 3, 1, 0.5), changes.get(1));
-        assertEquals(ListKind.DELTA, setup.next("kind", ListKind.class));
+        assertEquals(ListKind.DELTA, setup.awaitEvent("kind", ListKind.class));
     }
 
     /** What was written of a list counts as told, and the next call may be answered only after the grace. */
@@ -98,7 +98,7 @@
                 + list(44, false, "s-1", "terminated").replace("{", "{\r\n\t")));
         assertEquals(State.READY, member().state());
         assertEquals(State.GONE, member().state());
-        assertTrue(discovery.quiet(), "all of it came on one watch");
+        assertTrue(discovery.hasNoPendingConnection(), "all of it came on one watch");
     }
 
     @Test
@@ -107,7 +107,7 @@
         discovery.accept().read(); // that of the proxy
         Discovery quick = new Discovery(setup.loop, config, setup.proxy, 200, 100_000);
         quick.startFrom(41);
-        setup.act(() -> quick.watch(true));
+        setup.runOnLoop(() -> quick.watch(true));
         Peer.Wire watch = discovery.accept();
         watch.read();
         watch.write(HEAD + chunk("{\"generation\":42,"));
@@ -123,18 +123,18 @@
         });
         beats.setDaemon(true);
         beats.start();
-        assertTrue(watch.ended());
+        assertTrue(watch.awaitClose());
         assertTrue(discovery.accept().read().contains("index=41 "));
-        setup.act(() -> quick.watch(false));
+        setup.runOnLoop(() -> quick.watch(false));
     }
 
     /** A Discovery with little room for its list, which watches in the place of that of the proxy. */
     private Discovery small(Config config) throws Exception {
         discovery.accept().read(); // that of the proxy, which would call again before the pauses are over
-        setup.act(() -> setup.actions.subscribe(false));
+        setup.runOnLoop(() -> setup.actions.subscribe(false));
         Discovery small = new Discovery(setup.loop, config, setup.proxy, 60_000, 100_000);
         small.startFrom(41);
-        setup.act(() -> small.watch(true));
+        setup.runOnLoop(() -> small.watch(true));
         return small;
     }
 
@@ -187,7 +187,7 @@
             watch = next;
             pauseMs *= 2;
         }
-        assertTrue(setup.events.stream().noneMatch(t -> t.what().equals("members")));
+        assertTrue(setup.events.stream().noneMatch(t -> t.kind().equals("members")));
     }
 
     @Test
@@ -200,15 +200,15 @@
         watch.read();
         long before = System.nanoTime();
         refusedWrite(watch, HEAD + chunk(large(42)));
-        while (setup.next("kind", ListKind.class) != ListKind.FAILED) {
+        while (setup.awaitEvent("kind", ListKind.class) != ListKind.FAILED) {
             continue;
         }
         for (int i = 0; i < 10; i++) {
-            setup.act(() -> small.watch(true));
+            setup.runOnLoop(() -> small.watch(true));
         }
         assertTrue(discovery.accept().read().contains("index=41 "));
         assertTrue(System.nanoTime() - before >= TimeUnit.MILLISECONDS.toNanos(Discovery.FIRST_REFUSAL_MS));
-        assertTrue(discovery.quiet(), "ten times asked is one call");
+        assertTrue(discovery.hasNoPendingConnection(), "ten times asked is one call");
     }
 
     @Test
@@ -218,11 +218,11 @@
             Peer.Wire watch = discovery.accept();
             watch.read();
             watch.write(HEAD + chunk(bad));
-            assertTrue(watch.ended());
+            assertTrue(watch.awaitClose());
         }
         Peer.Wire watch = discovery.accept();
         assertTrue(watch.read().contains("index=41 "));
-        assertTrue(setup.events.stream().noneMatch(t -> t.what().equals("members")));
+        assertTrue(setup.events.stream().noneMatch(t -> t.kind().equals("members")));
     }
 
     @Test
@@ -234,7 +234,7 @@
         Peer.Wire watch = discovery.accept();
         watch.read();
         watch.write(HEAD);
-        assertTrue(watch.ended());
+        assertTrue(watch.awaitClose());
         discovery.accept().read();
     }
 
@@ -257,7 +257,7 @@
             client.write("GET /_health HTTP/1.1\r\n\r\n");
             assertTrue(client.read().startsWith("HTTP/1.1 503 "));
             watch.write(HEAD + chunk(list(42, true, "s-1", "in_service")));
-            setup.next("kind", ListKind.class);
+            setup.awaitEvent("kind", ListKind.class);
             client.write("GET /_health HTTP/1.1\r\n\r\n");
             assertTrue(client.read().startsWith("HTTP/1.1 200 "));
         }
@@ -271,10 +271,10 @@
         assertEquals(State.GONE, member().state());
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get());
-            Request r = setup.request();
-            setup.act(() -> setup.actions.send(r.ticket(), known, 0));
-            assertEquals(Status.MOOT, setup.outcome().status());
-            assertTrue(backend.quiet());
+            Request r = setup.awaitRequest();
+            setup.runOnLoop(() -> setup.actions.send(r.ticket(), known, 0));
+            assertEquals(Status.MOOT, setup.awaitOutcome().status());
+            assertTrue(backend.hasNoPendingConnection());
         }
     }
 
@@ -282,7 +282,7 @@
     void numbersOfBackendsThatAreGoneAreGivenUp() throws Exception {
         Config config = Setup.config(discovery, backend);
         Discovery d = new Discovery(setup.loop, config, setup.proxy, 60_000, 100_000);
-        setup.act(() -> d.watch(true));
+        setup.runOnLoop(() -> d.watch(true));
         discovery.accept(); // that of the proxy
         Peer.Wire watch = discovery.accept();
         watch.read();
@@ -305,16 +305,16 @@
         JsonNode root = Setup.json(discovery.hostPort(), backend.hostPort(), 1024, 5000);
         ((ObjectNode) root.at("/settings/rules")).put("drain_grace_ns", 1); // over before any connect
         setup = new Setup().start(Config.parse(root, Map.of()));
-        Member drains = new Member(setup.backend(), 0, State.DRAINING, 0, 3, 0, 1);
+        Member drains = new Member(setup.backendId(), 0, State.DRAINING, 0, 3, 0, 1);
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get());
-            Request r = setup.request();
-            setup.act(() -> {
+            Request r = setup.awaitRequest();
+            setup.runOnLoop(() -> {
                 setup.actions.send(r.ticket(), drains.id(), 0);
                 setup.proxy.onListUpdate(new Discovery.ListUpdate(ListKind.DELTA, 42,
                         List.of(new Discovery.Listed(drains, backend.address()))));
             });
-            assertEquals(Status.MOOT, setup.outcome().status());
+            assertEquals(Status.MOOT, setup.awaitOutcome().status());
             assertEquals("", backend.accept().read());
         }
     }
--- a/src/test/java/dewstage/proxy/FrontendTest.java
+++ b/src/test/java/dewstage/proxy/FrontendTest.java
@@ -49,7 +49,7 @@
             client.write(request.replace("|", "\r\n") + "\r\n");
             String answer = client.read();
             assertTrue(answer.startsWith("HTTP/1.1 " + status + " "), answer);
-            assertTrue(setup.events.stream().noneMatch(t -> t.what().equals("request")));
+            assertTrue(setup.events.stream().noneMatch(t -> t.kind().equals("request")));
         }
     }
 
@@ -71,8 +71,8 @@
             client.write(request.replace("|", "\r\n") + "\r\n" + Setup.get());
             String answer = client.read();
             assertTrue(answer.startsWith("HTTP/1.1 " + status + " "), answer);
-            assertTrue(client.ended());
-            assertTrue(setup.events.stream().noneMatch(t -> t.what().equals("request")));
+            assertTrue(client.awaitClose());
+            assertTrue(setup.events.stream().noneMatch(t -> t.kind().equals("request")));
         }
     }
 
@@ -101,14 +101,14 @@
         String request = Setup.get();
         try (Peer.Wire client = setup.client(); Peer.Wire other = setup.client()) {
             client.write(request);
-            Request r = setup.request();
+            Request r = setup.awaitRequest();
             other.write(request);
             assertTrue(other.read().startsWith("HTTP/1.1 409 "));
-            setup.act(() -> setup.actions.refuse(r.ticket(), 0));
+            setup.runOnLoop(() -> setup.actions.refuse(r.ticket(), 0));
             assertTrue(client.read().startsWith("HTTP/1.1 503 "));
             other.write(request);
             assertTrue(other.read().startsWith("HTTP/1.1 409 "));
-            assertTrue(setup.events.stream().noneMatch(t -> t.what().equals("request")));
+            assertTrue(setup.events.stream().noneMatch(t -> t.kind().equals("request")));
         }
     }
 
@@ -121,8 +121,8 @@
             }
             client.write(some.toString());
             for (int i = 0; i < Client.MOST_PIPELINED; i++) {
-                Request r = setup.request();
-                setup.act(() -> setup.actions.refuse(r.ticket(), 0));
+                Request r = setup.awaitRequest();
+                setup.runOnLoop(() -> setup.actions.refuse(r.ticket(), 0));
                 assertTrue(client.read().startsWith("HTTP/1.1 503 "));
             }
         }
@@ -133,8 +133,8 @@
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get().repeat(Client.MOST_PIPELINED + 1));
             assertTrue(client.read().startsWith("HTTP/1.1 429 "));
-            assertTrue(client.ended());
-            assertTrue(setup.events.stream().noneMatch(t -> t.what().equals("request")));
+            assertTrue(client.awaitClose());
+            assertTrue(setup.events.stream().noneMatch(t -> t.kind().equals("request")));
         }
     }
 
@@ -144,8 +144,8 @@
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get("Request-Timeout: 30\r\nX-Odd: 1\r\n"
                     + "Connection: request-id, cookie\r\nCookie: sid=1\r\n"));
-            Request r = setup.request();
-            setup.act(() -> setup.actions.send(r.ticket(), server, 0));
+            Request r = setup.awaitRequest();
+            setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
             String sent = backend.accept().read();
             assertTrue(sent.contains("Request-Id: r") && sent.contains("Cookie: sid=1\r\n"), sent);
             assertFalse(sent.contains("X-Odd") || sent.contains("Connection"), sent);
@@ -159,14 +159,14 @@
                     + "Idempotency-Key: k\r\nCookie: a=b; sid=7f3a9c21e0b4d655\r\n"
                     + "Client-Retry: 1\r\nWork-Hint: 300\r\n"
                     + "Content-Length: 3\r\n\r\nabc");
-            Request r = setup.request();
+            Request r = setup.awaitRequest();
             assertEquals(1, r.profile());
             assertEquals(RequestTerms.key("sid=7f3a9c21e0b4d655"), r.key());
             assertNotEquals(0, r.key());
             assertEquals(300_000, r.hintNs());
             assertTrue(r.repeat());
             assertTrue(r.leftNs() > 2_000_000_000L && r.leftNs() < 2_500_000_000L);
-            setup.act(() -> setup.actions.send(r.ticket(), server, 0));
+            setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
             String sent = backend.accept().read();
             assertTrue(sent.startsWith("POST /order/7 ") && sent.endsWith("\r\n\r\nabc"), sent);
             assertTrue(sent.contains("Idempotency-Key: k\r\n"), sent);
@@ -177,30 +177,30 @@
     void aClientThatClosesHasGoneAndItsAttemptIsCalledOff() throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.get());
-        Request r = setup.request();
-        setup.act(() -> setup.actions.send(r.ticket(), server, 0));
+        Request r = setup.awaitRequest();
+        setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
         Peer.Wire wire = backend.accept();
         wire.read();
         client.close();
-        assertEquals(r.ticket(), setup.next("withdrawn", Integer.class));
-        Outcome o = setup.outcome();
+        assertEquals(r.ticket(), setup.awaitEvent("withdrawn", Integer.class));
+        Outcome o = setup.awaitOutcome();
         assertEquals(Status.CANCELLED, o.status());
         assertTrue(o.over());
-        assertTrue(wire.ended());
+        assertTrue(wire.awaitClose());
     }
 
     @Test
     void theBackstopAnswersInTimeAndNothingGoesOutAfterwards() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get("Request-Timeout: 0.3\r\n"));
-            Request r = setup.request();
+            Request r = setup.awaitRequest();
             assertTrue(client.read().startsWith("HTTP/1.1 504 "));
-            setup.next("withdrawn", Integer.class);
-            setup.act(() -> setup.actions.send(r.ticket(), server, 0));
-            Outcome o = setup.outcome();
+            setup.awaitEvent("withdrawn", Integer.class);
+            setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
+            Outcome o = setup.awaitOutcome();
             assertEquals(Status.MOOT, o.status());
             assertTrue(o.over());
-            assertTrue(backend.quiet());
+            assertTrue(backend.hasNoPendingConnection());
         }
     }
 
@@ -208,8 +208,8 @@
     void aRequestIsAnsweredOnceWhateverTheModuleSays() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get());
-            Request r = setup.request();
-            setup.act(() -> {
+            Request r = setup.awaitRequest();
+            setup.runOnLoop(() -> {
                 setup.actions.refuse(r.ticket(), 0);
                 setup.actions.fail(r.ticket());
             });
@@ -225,8 +225,8 @@
         setup.onRequest = () -> setup.actions.send(999, server, 0); // ends at once, as moot
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get());
-            setup.request();
-            assertEquals(Status.MOOT, setup.outcome().status());
+            setup.awaitRequest();
+            assertEquals(Status.MOOT, setup.awaitOutcome().status());
         }
     }
 
@@ -240,8 +240,8 @@
             assertTrue(client.read().startsWith("HTTP/1.1 502 "));
             setup.onRequest = () -> { };
             client.write(Setup.get());
-            Request r = setup.request();
-            setup.act(() -> setup.actions.refuse(r.ticket(), 0));
+            Request r = setup.awaitRequest();
+            setup.runOnLoop(() -> setup.actions.refuse(r.ticket(), 0));
             assertTrue(client.read().startsWith("HTTP/1.1 503 "));
         }
     }
@@ -250,8 +250,8 @@
     void requestsOnOneConnectionAreAnsweredInOrder() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get() + "GET /none HTTP/1.1\r\n\r\n");
-            Request r = setup.request();
-            setup.act(() -> setup.actions.fail(r.ticket()));
+            Request r = setup.awaitRequest();
+            setup.runOnLoop(() -> setup.actions.fail(r.ticket()));
             assertTrue(client.read().startsWith("HTTP/1.1 502 "));
             assertTrue(client.read().startsWith("HTTP/1.1 404 "));
         }
@@ -277,7 +277,7 @@
         }
         connected.countDown();
         for (Peer.Wire w : burst.subList(0, 8)) {
-            assertTrue(w.ended());
+            assertTrue(w.awaitClose());
         }
         for (Peer.Wire w : burst.subList(8, 12)) {
             w.write("GET /none HTTP/1.1\r\n\r\n");
@@ -294,9 +294,9 @@
             idle.write("GET /none HTTP/1.1\r\n\r\n");
             assertTrue(idle.read().startsWith("HTTP/1.1 404 "));
             asking.write(Setup.get());
-            Request r = setup.request();
+            Request r = setup.awaitRequest();
             drained = setup.proxy.drain();
-            setup.act(() -> {
+            setup.runOnLoop(() -> {
                 try {
                     asking.write(Setup.get()); // on the loop: it comes unread to the end of this connection
                 } catch (IOException e) {
@@ -305,14 +305,14 @@
                 setup.actions.fail(r.ticket());
             });
             assertTrue(asking.read().contains("connection: close\r\n"));
-            assertTrue(asking.endedWell() && idle.endedWell());
+            assertTrue(asking.awaitCleanClose() && idle.awaitCleanClose());
             for (int i = 0; i < 3; i++) {
-                setup.act(() -> { }); // by the next look at the sockets what was closed is gone
+                setup.runOnLoop(() -> { }); // by the next look at the sockets what was closed is gone
             }
             for (Peer.Wire w : List.of(asking, idle)) {
                 w.write(Setup.get()).write(Setup.get()); // to a reset connection the second one would fail
             }
-            assertTrue(setup.events.stream().noneMatch(t -> t.what().equals("request")));
+            assertTrue(setup.events.stream().noneMatch(t -> t.kind().equals("request")));
         }
         drained.get(20, TimeUnit.SECONDS);
     }
@@ -323,10 +323,10 @@
         CompletableFuture<Void> drained;
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get());
-            Request r = setup.request();
-            setup.clock.stop();
+            Request r = setup.awaitRequest();
+            setup.clock.freeze();
             drained = setup.proxy.drain();
-            setup.act(() -> setup.actions.fail(r.ticket()));
+            setup.runOnLoop(() -> setup.actions.fail(r.ticket()));
             assertTrue(client.read().startsWith("HTTP/1.1 502 "));
             CompletableFuture<Void> stillOpen = drained;
             assertThrows(TimeoutException.class, () -> stillOpen.get(1, TimeUnit.SECONDS));
@@ -338,17 +338,17 @@
     void aDrainAnswersWhatCameBeforeAndAfterItAndEnds() throws Exception {
         try (Peer.Wire idle = setup.client(); Peer.Wire before = setup.client()) {
             before.write(Setup.get());
-            Request first = setup.request();
+            Request first = setup.awaitRequest();
             CompletableFuture<Void> drained = setup.proxy.drain();
             try (Peer.Wire after = setup.client()) {
                 after.write(Setup.get());
-                Request second = setup.request();
-                setup.act(() -> setup.actions.fail(second.ticket()));
+                Request second = setup.awaitRequest();
+                setup.runOnLoop(() -> setup.actions.fail(second.ticket()));
                 assertTrue(after.read().contains("connection: close\r\n"));
-                assertTrue(after.ended());
-                assertTrue(idle.ended());
+                assertTrue(after.awaitClose());
+                assertTrue(idle.awaitClose());
                 assertFalse(drained.isDone());
-                setup.act(() -> setup.actions.fail(first.ticket()));
+                setup.runOnLoop(() -> setup.actions.fail(first.ticket()));
                 assertTrue(before.read().contains("connection: close\r\n"));
             }
             drained.get(20, TimeUnit.SECONDS);
@@ -379,10 +379,10 @@
             try (Peer.Wire anew = setup.client()) {
                 old.write(Setup.get());
                 anew.write(Setup.get());
-                setup.clock.pass(stall);
+                setup.clock.advance(stall);
                 goOn.countDown();
                 for (int i = 0; i < 2; i++) {
-                    long left = setup.request().leftNs();
+                    long left = setup.awaitRequest().leftNs();
                     assertTrue(left > 0 && left <= TimeUnit.SECONDS.toNanos(30) - stall, left + " ns left");
                 }
             }
@@ -400,15 +400,15 @@
     void afterALongStallTheModuleHasToEndARequestBeforeItsTime(double stallS, double timeoutS, double marginS)
             throws Exception {
         try (Peer.Wire client = setup.client()) {
-            setup.clock.stop();
+            setup.clock.freeze();
             awaitBeat();
-            setup.clock.pass((long) (stallS * 1e9));
+            setup.clock.advance((long) (stallS * 1e9));
             awaitBeat();
-            setup.clock.pass(LoopLag.BEAT_NS); // what comes now has come behind the stall
+            setup.clock.advance(LoopLag.BEAT_NS); // what comes now has come behind the stall
 
             client.write(Setup.get("Request-Timeout: " + timeoutS + "\r\n"));
 
-            double leftS = setup.request().leftNs() / 1e9;
+            double leftS = setup.awaitRequest().leftNs() / 1e9;
             assertEquals(timeoutS - marginS, leftS, 0.01);
         }
     }
--- a/src/test/java/dewstage/proxy/GoneClientTest.java
+++ b/src/test/java/dewstage/proxy/GoneClientTest.java
@@ -42,7 +42,7 @@
         END_SENDING {
             @Override
             void end(Peer.Wire client) throws IOException {
-                client.endSending();
+                client.halfClose();
             }
         },
         /** Behind half a further request, which is unread as well. */
@@ -69,26 +69,26 @@
     /** A connection to the backend that has served once. */
     private Peer.Wire idleConnection() throws Exception {
         try (Peer.Wire client = setup.client().write(Setup.get())) {
-            Request r = setup.request();
-            setup.act(() -> setup.actions.send(r.ticket(), server, 0));
+            Request r = setup.awaitRequest();
+            setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
             Peer.Wire wire = backend.accept();
             wire.read();
             wire.write(OK);
             assertTrue(client.read().endsWith("body"));
-            assertEquals(Status.OK, setup.outcome().status());
+            assertEquals(Status.OK, setup.awaitOutcome().status());
             return wire;
         }
     }
 
     /** What has been written to the connection since, once the proxy has ended it. */
     private String written(Peer.Wire wire) throws Exception {
-        setup.act(() -> setup.actions.closeIdle(server));
+        setup.runOnLoop(() -> setup.actions.closeIdle(server));
         return wire.read();
     }
 
     private void endsUnsent(int ticket) throws Exception {
-        assertEquals(ticket, setup.next("withdrawn", Integer.class));
-        Outcome o = setup.outcome();
+        assertEquals(ticket, setup.awaitEvent("withdrawn", Integer.class));
+        Outcome o = setup.awaitOutcome();
         assertTrue(o.over());
         assertTrue(o.status() == Status.MOOT || o.status() == Status.CANCELLED, o.toString());
     }
@@ -97,10 +97,10 @@
     @EnumSource
     void whatWaitedInTheModuleIsNotSentOnceItsClientHasLeft(Leave how) throws Exception {
         Peer.Wire idle = idleConnection();
-        setup.clock.pass(Backends.REST_NS);
+        setup.clock.advance(Backends.REST_NS);
         try (Peer.Wire client = setup.client().write(Setup.get())) {
-            Request r = setup.request();
-            setup.act(() -> {
+            Request r = setup.awaitRequest();
+            setup.runOnLoop(() -> {
                 how.now(client);
                 setup.actions.send(r.ticket(), server, 0);
             });
@@ -114,11 +114,11 @@
     @EnumSource
     void aRequestWhoseClientHasLeftBehindItIsNotSent(Leave how) throws Exception {
         Peer.Wire idle = idleConnection();
-        setup.clock.pass(Backends.REST_NS);
+        setup.clock.advance(Backends.REST_NS);
         int next = 2; // tickets count from one
         setup.onRequest = () -> setup.actions.send(next, server, 0);
         try (Peer.Wire client = setup.client()) {
-            setup.act(() -> {
+            setup.runOnLoop(() -> {
                 try {
                     client.write(Setup.get());
                 } catch (IOException e) {
@@ -126,7 +126,7 @@
                 }
                 how.now(client);
             });
-            assertEquals(next, setup.request().ticket());
+            assertEquals(next, setup.awaitRequest().ticket());
             endsUnsent(next);
             assertEquals("", written(idle));
         }
@@ -136,12 +136,12 @@
     @EnumSource
     void aFurtherAttemptIsNotSentOnceItsClientHasLeft(Leave how) throws Exception {
         Peer.Wire idle = idleConnection();
-        setup.clock.pass(Backends.REST_NS);
+        setup.clock.advance(Backends.REST_NS);
         try (Peer.Wire client = setup.client().write(Setup.get()); Peer.Wire other = setup.client()) {
-            Request r = setup.request();
+            Request r = setup.awaitRequest();
             other.write(Setup.get());
-            Request beside = setup.request();
-            setup.act(() -> {
+            Request beside = setup.awaitRequest();
+            setup.runOnLoop(() -> {
                 setup.actions.send(beside.ticket(), server, 0); // has the connection
                 setup.actions.send(r.ticket(), server, 0);
             });
@@ -150,12 +150,12 @@
             idle.read();
             idle.write(OK);
             assertTrue(other.read().endsWith("body"));
-            setup.clock.pass(Backends.REST_NS);
+            setup.clock.advance(Backends.REST_NS);
             first.reset();
-            while (setup.outcome().status() != Status.RESET) {
+            while (setup.awaitOutcome().status() != Status.RESET) {
                 continue; // that of the other
             }
-            setup.act(() -> {
+            setup.runOnLoop(() -> {
                 how.now(client);
                 setup.actions.send(r.ticket(), server, 0);
             });
@@ -168,12 +168,12 @@
     @ParameterizedTest
     @EnumSource
     void whatWaitedForAConnectionsRestIsNotSentOnceItsClientHasLeft(Leave how) throws Exception {
-        setup.clock.stop();
+        setup.clock.freeze();
         Peer.Wire idle = idleConnection();
         try (Peer.Wire client = setup.client().write(Setup.get())) {
-            Request r = setup.request();
+            Request r = setup.awaitRequest();
             long restNs = Backends.REST_NS;
-            setup.act(() -> {
+            setup.runOnLoop(() -> {
                 setup.actions.send(r.ticket(), server, 0);
                 how.now(client);
                 long began = System.nanoTime();
@@ -197,13 +197,13 @@
             setup.close();
             setup = new Setup().start(Config.parse(Setup.json(discovery.hostPort(),
                     "127.0.0.1:" + late.getLocalPort(), 1024, 20_000), Map.of()));
-            server = setup.backend();
+            server = setup.backendId();
             try (Peer.Wire client = setup.client().write(Setup.get())) {
-                Request r = setup.request();
-                setup.act(() -> setup.actions.send(r.ticket(), server, 0));
+                Request r = setup.awaitRequest();
+                setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
                 late.setSoTimeout((int) TimeUnit.SECONDS.toMillis(20));
                 Socket[] came = new Socket[1];
-                setup.act(() -> {
+                setup.runOnLoop(() -> {
                     try {
                         late.accept().close();
                         late.accept().close();
@@ -225,8 +225,8 @@
     @Test
     void whatIsReadAheadOfAnAttemptIsServedInItsTurn() throws Exception {
         try (Peer.Wire client = setup.client().write(Setup.get())) {
-            Request r = setup.request();
-            setup.act(() -> {
+            Request r = setup.awaitRequest();
+            setup.runOnLoop(() -> {
                 try {
                     client.write(Setup.get());
                 } catch (IOException e) {
@@ -238,10 +238,10 @@
             wire.read();
             wire.write(OK);
             assertTrue(client.read().endsWith("body"));
-            Request second = setup.request();
-            setup.act(() -> setup.actions.fail(second.ticket()));
+            Request second = setup.awaitRequest();
+            setup.runOnLoop(() -> setup.actions.fail(second.ticket()));
             assertTrue(client.read().startsWith("HTTP/1.1 502 "));
-            assertTrue(setup.events.stream().noneMatch(t -> t.what().equals("request")));
+            assertTrue(setup.events.stream().noneMatch(t -> t.kind().equals("request")));
         }
     }
 }
--- a/src/test/java/dewstage/proxy/LoopbackTest.java
+++ b/src/test/java/dewstage/proxy/LoopbackTest.java
@@ -17,7 +17,7 @@
         discovery = new Peer();
         backend = new Peer();
         setup = new Setup().start(Setup.config(discovery, backend));
-        server = setup.backend();
+        server = setup.backendId();
     }
 
     @AfterEach
--- a/src/test/java/dewstage/proxy/Peer.java
+++ b/src/test/java/dewstage/proxy/Peer.java
@@ -57,7 +57,7 @@
     }
 
     /** True if no connection has been accepted that the test has not taken. */
-    boolean quiet() {
+    boolean hasNoPendingConnection() {
         return accepted.isEmpty();
     }
 
@@ -93,7 +93,7 @@
         }
 
         /** Is there something to read? */
-        boolean says() throws IOException {
+        boolean hasInput() throws IOException {
             return in.available() > 0;
         }
 
@@ -114,7 +114,7 @@
         }
 
         /** True once the other side has closed; a reset is an end as well. */
-        boolean ended() {
+        boolean awaitClose() {
             try {
                 return in.read() < 0;
             } catch (IOException e) {
@@ -123,12 +123,12 @@
         }
 
         /** True once the other side has ended its sending in good order: not by a reset. */
-        boolean endedWell() throws IOException {
+        boolean awaitCleanClose() throws IOException {
             return in.read() < 0;
         }
 
         /** Sends no more, and goes on reading. */
-        void endSending() throws IOException {
+        void halfClose() throws IOException {
             socket.shutdownOutput();
         }
 
--- a/src/test/java/dewstage/proxy/RehearsalTest.java
+++ b/src/test/java/dewstage/proxy/RehearsalTest.java
@@ -31,7 +31,9 @@
             Config config = Config.parse(new ObjectMapper().readTree(json), Map.of());
             int served = Rehearsal.run(config, Policy::new, 60, 30_000);
             assertTrue(served > 0 && served <= 60, "served " + served);
-            assertTrue(discovery.quiet() && backend.quiet() && listen.quiet());
+            assertTrue(discovery.hasNoPendingConnection()
+                    && backend.hasNoPendingConnection()
+                    && listen.hasNoPendingConnection());
         }
     }
 
--- a/src/test/java/dewstage/proxy/ServeTest.java
+++ b/src/test/java/dewstage/proxy/ServeTest.java
@@ -82,7 +82,7 @@
                 write(third, backend);
                 signal(p, "HUP");
                 assertTrue(third.accept().read().contains("index=41 "));
-                assertTrue(watch.ended());
+                assertTrue(watch.awaitClose());
                 signal(p, "TERM");
                 said(log, "drained");
                 assertTrue(p.waitFor(20, TimeUnit.SECONDS));
@@ -188,13 +188,13 @@
     void theModuleKeepsItsListAndNothingIsToldTwiceWhenTheAddressIsTheSame() throws Exception {
         try (Peer discovery = new Peer(); Peer elsewhere = new Peer(); Peer backend = new Peer();
                 Setup setup = new Setup().start(Setup.config(discovery, backend))) {
-            setup.backend();
+            setup.backendId();
             discovery.accept().read();
-            setup.act(() -> reload(setup, discovery, backend));
-            setup.act(() -> reload(setup, elsewhere, backend));
+            setup.runOnLoop(() -> reload(setup, discovery, backend));
+            setup.runOnLoop(() -> reload(setup, elsewhere, backend));
             assertTrue(elsewhere.accept().read().contains("index=41 "));
-            assertTrue(discovery.quiet());
-            assertTrue(setup.events.stream().noneMatch(t -> t.what().equals("members")));
+            assertTrue(discovery.hasNoPendingConnection());
+            assertTrue(setup.events.stream().noneMatch(t -> t.kind().equals("members")));
         }
     }
 
@@ -206,22 +206,22 @@
             ((ObjectNode) root.path("settings")).put("discovery", "on_request");
             ((ObjectNode) root.at("/settings/rules")).put("ask_within_ns", 10_000_000_000L);
             try (Setup setup = new Setup().start(Config.parse(root, Map.of()))) {
-                setup.backend();
-                setup.act(() -> setup.actions.subscribe(true));
+                setup.backendId();
+                setup.runOnLoop(() -> setup.actions.subscribe(true));
                 discovery.accept().close();
-                while (setup.next("kind", ListKind.class) != ListKind.FAILED) {
+                while (setup.awaitEvent("kind", ListKind.class) != ListKind.FAILED) {
                     continue; // the watch is lost, and the module pauses
                 }
-                setup.act(() -> reload(setup, elsewhere, backend));
+                setup.runOnLoop(() -> reload(setup, elsewhere, backend));
                 Peer.Wire watch = elsewhere.accept();
                 assertTrue(watch.read().contains("index=41 "));
-                setup.act(() -> setup.actions.subscribe(true)); // the pause is over: this call stands
+                setup.runOnLoop(() -> setup.actions.subscribe(true)); // the pause is over: this call stands
                 watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + "2d\r\n{\"generation\":42,\"reset\":true,\"instances\":[]}\r\n");
-                List<?> changes = setup.next("members", List.class);
+                List<?> changes = setup.awaitEvent("members", List.class);
                 assertEquals(1, changes.size(), "the list names nobody: who was known is gone");
                 assertEquals(State.GONE, ((Member) changes.get(0)).state());
-                assertTrue(elsewhere.quiet());
+                assertTrue(elsewhere.hasNoPendingConnection());
             }
         }
     }
--- a/src/test/java/dewstage/proxy/Setup.java
+++ b/src/test/java/dewstage/proxy/Setup.java
@@ -40,7 +40,7 @@
     private static final AtomicInteger IDS = new AtomicInteger();
 
     /** A clock that the test can stop and push on. */
-    static final class Steps extends Clock {
+    static final class ManualClock extends Clock {
         private volatile long stopped;
 
         @Override
@@ -49,21 +49,21 @@
         }
 
         /** Stands still from now on. */
-        void stop() {
+        void freeze() {
             stopped = now();
         }
 
-        void pass(long ns) {
+        void advance(long ns) {
             stopped = now() + ns;
         }
     }
 
     /** What the module was told. */
-    record ModuleEvent(String what, Object event) { }
+    record ModuleEvent(String kind, Object event) { }
 
     final EventLoop loop = Proxy.newLoop();
     final BlockingQueue<ModuleEvent> events = new LinkedBlockingQueue<>();
-    final Steps clock = new Steps();
+    final ManualClock clock = new ManualClock();
     Proxy proxy;
     Balancer.Actions actions;
     /** What the module does when it is told of a request, before the test hears of it. */
@@ -103,35 +103,35 @@
     }
 
     /** Runs an action of the module, as it would from an event. */
-    void act(Runnable action) throws Exception {
+    void runOnLoop(Runnable action) throws Exception {
         loop.submit(action).get(20, TimeUnit.SECONDS);
     }
 
-    private ModuleEvent awaitEvent() throws InterruptedException {
+    private ModuleEvent pollEvent() throws InterruptedException {
         return events.poll(20, TimeUnit.SECONDS);
     }
 
     /** Waits for the next event of a kind; others are passed over. */
-    <T> T next(String what, Class<T> type) throws InterruptedException {
-        for (ModuleEvent e = awaitEvent(); e != null; e = awaitEvent()) {
-            if (e.what().equals(what)) {
+    <T> T awaitEvent(String kind, Class<T> type) throws InterruptedException {
+        for (ModuleEvent e = pollEvent(); e != null; e = pollEvent()) {
+            if (e.kind().equals(kind)) {
                 return type.cast(e.event());
             }
         }
-        throw new AssertionError("the module was not told: " + what);
+        throw new AssertionError("the module was not told: " + kind);
     }
 
-    Request request() throws InterruptedException {
-        return next("request", Request.class);
+    Request awaitRequest() throws InterruptedException {
+        return awaitEvent("request", Request.class);
     }
 
-    Outcome outcome() throws InterruptedException {
-        return next("outcome", Outcome.class);
+    Outcome awaitOutcome() throws InterruptedException {
+        return awaitEvent("outcome", Outcome.class);
     }
 
     /** The one backend of the known list. */
-    int backend() throws InterruptedException {
-        return ((Member) next("members", List.class).get(0)).id();
+    int backendId() throws InterruptedException {
+        return ((Member) awaitEvent("members", List.class).get(0)).id();
     }
 
     /** A request with an id of its own. */
@@ -150,11 +150,11 @@
     }
 
     private final class Module implements Balancer {
-        private void note(String what, Object event) {
+        private void note(String eventKind, Object event) {
             if (nested) {
                 throw new AssertionError("the module was called from inside its own action");
             }
-            events.add(new ModuleEvent(what, event));
+            events.add(new ModuleEvent(eventKind, event));
         }
 
         @Override
--- a/src/test/java/dewstage/proxy/ToldInTimeTest.java
+++ b/src/test/java/dewstage/proxy/ToldInTimeTest.java
@@ -102,9 +102,9 @@
 
     /** The next call, whole; it is let come on a clock that stands still. */
     private Peer.Wire call(Peer discovery) throws Exception {
-        await(() -> !discovery.quiet());
+        await(() -> !discovery.hasNoPendingConnection());
         Peer.Wire call = discovery.accept();
-        await(call::says);
+        await(call::hasInput);
         assertTrue(call.read().startsWith("GET /catalog/members?stream=1"));
         return call;
     }
@@ -199,8 +199,8 @@
             Peer.Wire hangs = call(discovery);
             for (int i = 0; i < 9; i++) { // 18 s, with a bare connection every 2 s
                 pass(2000);
-                await(() -> !discovery.quiet()); // on a clock that stands still
-                assertFalse(discovery.accept().says());
+                await(() -> !discovery.hasNoPendingConnection()); // on a clock that stands still
+                assertFalse(discovery.accept().hasInput());
                 loop.run(TimeUnit.MILLISECONDS.toNanos(1)); // what is accepted has connected: it is seen now
             }
             assertTrue(nowMs() >= 18_000);
@@ -227,7 +227,7 @@
                 pass(100);
                 loop.run(TimeUnit.MILLISECONDS.toNanos(1)); // a refused connect is seen at the next look
             }
-            assertTrue(hangs.ended());
+            assertTrue(hangs.awaitClose());
             try (Peer returned = new Peer(port)) {
                 long reachable = nowMs();
                 pass(Discovery.longestPauseMs(60_000_000_000L));
