--- a/src/main/java/dewstage/proxy/Backends.java
+++ b/src/main/java/dewstage/proxy/Backends.java
@@ -39,29 +39,29 @@
 import java.util.function.IntFunction;
 
 /**
- * The backends' side: idle connections, attempts, and what became of them. Every attempt ends exactly once.
- * Nothing is sent again from here.
+ * Sends attempts to backends over pooled connections and reports their outcomes. Each attempt completes
+ * exactly once; this class never retries.
  */
 final class Backends {
-    /** The largest body that either side may send. */
-    static final int MOST_BYTES = 64 << 10;
-    /** Interim (1xx) answers ahead of one final answer. */
-    private static final int MOST_INTERIM = 8;
-    /** Figures beyond these are no load: a busy share of one is all, and nothing counts a million. */
-    private static final double MOST_UTIL = 100, MOST_COUNT = 1e6;
-
-    /** A whole answer of a backend. */
-    record Answer(HttpResponse head, byte[] body) { }
-
-    /**
-     * Who hears, once, how an attempt ended. There is an answer if it was served, and with MOOT if the
-     * backend cannot use the request.
-     */
+    /** Maximum size of a request or response body. */
+    static final int MAX_BODY_BYTES = 64 << 10;
+    /** Maximum number of interim (1xx) responses before a final response. */
+    private static final int MAX_INTERIM_RESPONSES = 8;
+    /** Maximum plausible utilization in a load report; a fully busy server reports one. */
+    private static final double MAX_UTILIZATION = 100;
+    /** Maximum plausible value of every other field of a load report. */
+    private static final double MAX_REPORTED_COUNT = 1e6;
+
+    /** A complete response of a backend. */
+    record Response(HttpResponse head, byte[] body) { }
+
+    /** Receives the outcome of an attempt, exactly once. */
     interface Listener {
-        void ended(Attempt attempt, Status status, Report report, Answer answer);
+        /** The response is non-null if the status is OK, or MOOT because the backend rejected the request. */
+        void onCompleted(Attempt attempt, Status status, Report report, Response response);
     }
 
-    /** How connections to backends are made: by TCP, but for the rehearsal. */
+    /** Creates the bootstrap for connections to a backend: TCP, except during the rehearsal. */
     interface Transport {
         Bootstrap to(InetSocketAddress address);
     }
@@ -71,33 +71,33 @@
                 .option(ChannelOption.TCP_NODELAY, true).remoteAddress(address);
     }
 
-    /** An idle connection is closed so long before the backend does it: no request may cross that. */
+    /** Idle connections are closed this long before the backend does, so that no request races with it. */
     private static final long KEEP_ALIVE_MARGIN_NS = 1_500_000_000L;
     private static final long SWEEP_MS = 500;
     /**
-     * A connection rests for so long after an answer, and a request that is given to it waits. Guards against
-     * a second answer that comes behind the first: the next request would be served with it. Seen were 1 to
-     * 7 ms. A new connection instead would take longer to come up, and crowd the backend.
+     * Minimum time between a response and the next request on the same connection. A duplicate response,
+     * which arrives 1 to 7 ms after the first, would otherwise be taken for the response to the next request.
+     * Opening a new connection instead would take longer and add load to the backend.
      */
-    static final long REST_NS = 10_000_000L;
+    static final long REUSE_DELAY_NS = 10_000_000L;
 
-    /** What is kept of a backend in use, and of one that drains: of most that are listed, nothing. */
+    /** State of a backend that is in use or draining; most listed backends have none. */
     private static final class Backend {
         final int id;
-        /** Where its connections lead, and the start of the process there. */
         InetSocketAddress address;
+        /** Start time of the process at the address. */
         long bootNs;
-        /** When this proxy heard that it drains or is gone; 0 while it is in service. */
-        long leftAt;
-        /** Attempts that have not ended, and connections that are not closed. */
-        int uses;
-        /** The most recently used last. */
-        final Deque<Connection> idle = new ArrayDeque<>(2);
-
-        Backend(Discovery.Listed l) {
-            this.id = l.member().id();
-            this.address = l.address();
-            this.bootNs = l.member().bootNs();
+        /** When this proxy was notified that the backend is draining or gone; 0 while it is in service. */
+        long outOfServiceSince;
+        /** Number of attempts in flight plus open connections. */
+        int useCount;
+        /** Ordered by last use, the least recently used first. */
+        final Deque<Connection> idleConnections = new ArrayDeque<>(2);
+
+        Backend(Discovery.Listed entry) {
+            this.id = entry.member().id();
+            this.address = entry.address();
+            this.bootNs = entry.member().bootNs();
         }
     }
 
@@ -108,333 +108,333 @@
     private final long connectTimeoutNs;
     private final long keepAliveNs;
     private final long drainGraceNs;
-    private final IntFunction<Discovery.Listed> listed;
-    private final IntMap<Backend> inUse = new IntMap<>();
-    /** Connections that are idle, the one idle longest first: they come in at its end as they become so. */
-    private final Set<Connection> idle = new LinkedHashSet<>();
+    private final IntFunction<Discovery.Listed> listedById;
+    private final IntMap<Backend> tracked = new IntMap<>();
+    /** Idle connections of all backends in insertion order: the one idle longest is first. */
+    private final Set<Connection> idleByAge = new LinkedHashSet<>();
 
-    /** By the number of a backend, listed tells what is listed now; null if it is not. */
+    /** {@code listedById} returns the current list entry of a server, or null if it is not listed. */
     Backends(EventLoop loop, Clock clock, Sockets.Share sockets, Config config, Transport transport,
-            IntFunction<Discovery.Listed> listed) {
-        this.listed = listed;
+            IntFunction<Discovery.Listed> listedById) {
+        this.listedById = listedById;
         this.transport = transport;
         this.loop = loop;
         this.clock = clock;
         this.sockets = sockets;
-        sockets.whenFull(this::closeOneIdle);
+        sockets.onExhausted(this::closeOldestIdle);
         this.connectTimeoutNs = config.connectTimeoutNs();
         this.keepAliveNs = Math.max(config.keepAliveNs() / 2, config.keepAliveNs() - KEEP_ALIVE_MARGIN_NS);
         this.drainGraceNs = config.drainGraceNs();
         loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
-    // ---- the list ----
+    // ---- member list ----
 
-    /** Hears what changes. A first list finds nothing in use, and later ones name whoever is gone. */
+    /** Applies a list update. Updates after the first one include the members that are gone. */
     void apply(Discovery.ListUpdate listUpdate) {
         long now = clock.now();
-        for (Discovery.Listed l : listUpdate.list()) {
-            State state = l.member().state();
-            Backend b = inUse.get(l.member().id());
-            if (b == null && state == State.DRAINING) {
-                b = new Backend(l); // whoever is sent there later must know since when it drains
-                inUse.put(b.id, b);
+        for (Discovery.Listed entry : listUpdate.list()) {
+            State state = entry.member().state();
+            Backend backend = tracked.get(entry.member().id());
+            if (backend == null && state == State.DRAINING) {
+                backend = new Backend(entry); // later attempts need the time at which draining began
+                tracked.put(backend.id, backend);
             }
-            if (b != null) {
-                apply(b, l, state, now);
+            if (backend != null) {
+                applyEntry(backend, entry, state, now);
             }
         }
     }
 
-    private void apply(Backend b, Discovery.Listed l, State state, long now) {
-        InetSocketAddress address = l.address();
-        boolean moved = address != null && !address.equals(b.address);
-        if (moved || l.member().bootNs() > b.bootNs) {
-            closeIdle(b); // they lead to a process that is no more
+    private void applyEntry(Backend backend, Discovery.Listed entry, State state, long now) {
+        InetSocketAddress address = entry.address();
+        boolean moved = address != null && !address.equals(backend.address);
+        if (moved || entry.member().bootNs() > backend.bootNs) {
+            closeIdle(backend); // connected to a process that no longer runs
         }
-        b.address = moved ? address : b.address;
-        b.bootNs = l.member().bootNs();
+        backend.address = moved ? address : backend.address;
+        backend.bootNs = entry.member().bootNs();
         if (state == State.READY) {
-            b.leftAt = 0;
-            letGo(b);
+            backend.outOfServiceSince = 0;
+            removeIfUnused(backend);
         } else {
-            b.leftAt = b.leftAt == 0 ? now : b.leftAt;
-            closeIdle(b);
+            backend.outOfServiceSince = backend.outOfServiceSince == 0 ? now : backend.outOfServiceSince;
+            closeIdle(backend);
         }
         if (state == State.GONE) {
-            inUse.remove(b.id);
+            tracked.remove(backend.id);
         }
     }
 
-    /** Nothing is kept of a backend in service that is no longer in use. */
-    private void letGo(Backend b) {
-        if (b.uses == 0 && b.leftAt == 0) {
-            inUse.remove(b.id);
+    private void removeIfUnused(Backend backend) {
+        if (backend.useCount == 0 && backend.outOfServiceSince == 0) {
+            tracked.remove(backend.id);
         }
     }
 
-    private void release(Backend b) {
-        b.uses--;
-        letGo(b);
+    private void release(Backend backend) {
+        backend.useCount--;
+        removeIfUnused(backend);
     }
 
-    /** How many backends something is kept of. */
-    int inUse() {
-        return inUse.size();
+    int trackedCount() {
+        return tracked.size();
     }
 
     // ---- idle connections ----
 
     void closeIdle(int id) {
-        Backend b = inUse.get(id);
-        if (b != null) {
-            closeIdle(b);
+        Backend backend = tracked.get(id);
+        if (backend != null) {
+            closeIdle(backend);
         }
     }
 
-    private void closeIdle(Backend b) {
-        while (!b.idle.isEmpty()) {
-            take(b.idle.peekLast()).channel.close();
+    private void closeIdle(Backend backend) {
+        while (!backend.idleConnections.isEmpty()) {
+            removeFromIdle(backend.idleConnections.peekLast()).channel.close();
         }
     }
 
-    /** Takes it out of those that are idle. */
-    private Connection take(Connection c) {
-        c.backend.idle.remove(c);
-        idle.remove(c);
-        return c;
+    private Connection removeFromIdle(Connection connection) {
+        connection.backend.idleConnections.remove(connection);
+        idleByAge.remove(connection);
+        return connection;
     }
 
-    /** Closes the connection that has been idle longest; false if there is none. */
-    private boolean closeOneIdle() {
-        if (idle.isEmpty()) {
+    /** Closes the connection that has been idle longest; returns false if there is none. */
+    private boolean closeOldestIdle() {
+        if (idleByAge.isEmpty()) {
             return false;
         }
-        take(idle.iterator().next()).channel.close();
+        removeFromIdle(idleByAge.iterator().next()).channel.close();
         return true;
     }
 
     private void sweep() {
-        while (!idle.isEmpty() && !fresh(idle.iterator().next())) {
-            closeOneIdle();
+        while (!idleByAge.isEmpty() && !isFresh(idleByAge.iterator().next())) {
+            closeOldestIdle();
         }
     }
 
-    private boolean fresh(Connection c) {
-        return clock.now() - c.idleSince < keepAliveNs;
+    private boolean isFresh(Connection connection) {
+        return clock.now() - connection.idleSince < keepAliveNs;
     }
 
-    private Connection reuse(Backend b) {
-        // The one idle longest: what a backend closes right behind an answer, or sends too much, is seen by
-        // then.
-        Connection c = b.idle.peekFirst();
-        // Not left to the sweep: one that stands still would write to what the backend is about to close.
-        while (c != null && !(fresh(c) && c.channel.isActive())) {
-            take(c).channel.close();
-            c = b.idle.peekFirst();
+    private Connection pollReusable(Backend backend) {
+        // The one idle longest: a close or surplus bytes right after its last response have been read by now.
+        Connection connection = backend.idleConnections.peekFirst();
+        // Also checked here: after a stall of the loop the sweep is late, and the backend may be about to
+        // close the connection.
+        while (connection != null && !(isFresh(connection) && connection.channel.isActive())) {
+            removeFromIdle(connection).channel.close();
+            connection = backend.idleConnections.peekFirst();
         }
-        return c == null ? null : take(c);
+        return connection == null ? null : removeFromIdle(connection);
     }
 
     // ---- attempts ----
 
     /**
-     * Starts an attempt that is wanted; it ends later, never within this call. One that has had to wait for
-     * its connection is written only if it is wanted still, and whoever wants it no longer cancels it.
+     * Starts an attempt. It never completes within this call. If it has to wait for a connection, the request
+     * is written only if {@code stillWanted} then returns true; otherwise the caller cancels the attempt.
      */
-    Attempt send(int server, Message request, long timeoutNs, BooleanSupplier wanted, Listener listener) {
-        Attempt a = new Attempt(use(server), request, clock.now() + timeoutNs, wanted, listener);
-        if (a.backend == null) {
-            loop.execute(() -> a.end(Status.MOOT, null, null)); // gone since
-            return a;
-        }
-        a.backend.uses++;
-        a.timer = loop.schedule(a::timeOut, timeoutNs, TimeUnit.NANOSECONDS);
-        Connection idle = reuse(a.backend);
-        long rest = idle == null ? 0 : idle.idleSince + REST_NS - clock.now();
-        if (idle == null) {
-            anew(a);
-        } else if (rest > 0) {
-            a.connection = idle;
-            loop.schedule(() -> rested(a), rest, TimeUnit.NANOSECONDS);
+    Attempt send(int server, ClientRequest request, long timeoutNs, BooleanSupplier stillWanted,
+            Listener listener) {
+        Attempt attempt = new Attempt(track(server), request, clock.now() + timeoutNs, stillWanted, listener);
+        if (attempt.backend == null) {
+            loop.execute(() -> attempt.complete(Status.MOOT, null, null)); // no longer listed
+            return attempt;
+        }
+        attempt.backend.useCount++;
+        attempt.timer = loop.schedule(attempt::onTimeout, timeoutNs, TimeUnit.NANOSECONDS);
+        Connection reused = pollReusable(attempt.backend);
+        long delayNs = reused == null ? 0 : reused.idleSince + REUSE_DELAY_NS - clock.now();
+        if (reused == null) {
+            connectNew(attempt);
+        } else if (delayNs > 0) {
+            attempt.connection = reused;
+            loop.schedule(() -> startAfterDelay(attempt), delayNs, TimeUnit.NANOSECONDS);
         } else {
-            idle.begin(a);
+            reused.start(attempt);
         }
-        return a;
+        return attempt;
     }
 
-    /** What is kept of a backend, from its first attempt on; null if it is not listed. */
-    private Backend use(int server) {
-        Backend b = inUse.get(server);
-        Discovery.Listed l = b == null ? listed.apply(server) : null;
-        if (l != null) {
-            b = new Backend(l);
-            inUse.put(server, b);
+    /** Returns the state of a backend, creating it if needed; null if the server is not listed. */
+    private Backend track(int server) {
+        Backend backend = tracked.get(server);
+        Discovery.Listed entry = backend == null ? listedById.apply(server) : null;
+        if (entry != null) {
+            backend = new Backend(entry);
+            tracked.put(server, backend);
         }
-        return b;
+        return backend;
     }
 
-    private void rested(Attempt a) {
-        if (a.ended || !a.wanted.getAsBoolean()) {
+    private void startAfterDelay(Attempt attempt) {
+        if (attempt.completed || !attempt.stillWanted.getAsBoolean()) {
             return;
         }
-        if (a.connection.channel.isActive()) {
-            a.connection.begin(a);
+        if (attempt.connection.channel.isActive()) {
+            attempt.connection.start(attempt);
         } else {
-            anew(a); // something came behind the answer; of this attempt nothing was written
+            connectNew(attempt); // closed during the delay; nothing of this attempt was written
         }
     }
 
-    private void anew(Attempt a) {
-        if (sockets.take()) {
-            connect(a);
+    private void connectNew(Attempt attempt) {
+        if (sockets.tryAcquire()) {
+            connect(attempt);
         } else {
-            loop.execute(() -> a.end(Status.MOOT, null, null)); // no fault of the backend's
+            loop.execute(() -> attempt.complete(Status.MOOT, null, null)); // not the backend's fault
         }
     }
 
-    private void connect(Attempt a) {
-        Connection c = new Connection(a.backend);
-        ChannelFuture connect = transport.to(a.backend.address)
+    private void connect(Attempt attempt) {
+        Connection newConnection = new Connection(attempt.backend);
+        ChannelFuture connectFuture = transport.to(attempt.backend.address)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutNs / 1_000_000))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(c.decoder, new HttpRequestEncoder(), c);
+                        channel.pipeline().addLast(newConnection.decoder, new HttpRequestEncoder(),
+                                newConnection);
                     }
                 }).connect();
-        if (Sockets.hasNoDescriptor(connect)) {
+        if (Sockets.hasNoDescriptor(connectFuture)) {
             sockets.release();
-            loop.execute(() -> a.end(Status.MOOT, null, null)); // no fault of the backend's
+            loop.execute(() -> attempt.complete(Status.MOOT, null, null)); // not the backend's fault
             return;
         }
-        c.channel = connect.channel();
-        a.connection = c;
-        a.backend.uses++;
-        c.channel.closeFuture().addListener(f -> {
+        newConnection.channel = connectFuture.channel();
+        attempt.connection = newConnection;
+        attempt.backend.useCount++;
+        newConnection.channel.closeFuture().addListener(future -> {
             sockets.release();
-            release(a.backend);
+            release(attempt.backend);
         });
-        connect.addListener(f -> {
-            if (f.isSuccess() && !a.ended) {
-                if (a.wanted.getAsBoolean()) {
-                    c.begin(a);
+        connectFuture.addListener(future -> {
+            if (future.isSuccess() && !attempt.completed) {
+                if (attempt.stillWanted.getAsBoolean()) {
+                    newConnection.start(attempt);
                 }
             } else {
-                c.channel.close();
-                loop.execute(() -> a.end(Status.CONNECT_FAILED, null, null));
+                newConnection.channel.close();
+                loop.execute(() -> attempt.complete(Status.CONNECT_FAILED, null, null));
             }
         });
     }
 
-    /** One try of one request at one backend. */
+    /** One attempt of a request at a backend. */
     final class Attempt {
         final long startedAt = clock.now();
         private final Backend backend;
-        private final Message request;
+        private final ClientRequest request;
         private final long deadline;
-        private final BooleanSupplier wanted;
+        private final BooleanSupplier stillWanted;
         private final Listener listener;
         private Connection connection;
         private ScheduledFuture<?> timer;
-        /** Its last byte is written: from now on it may have run. */
-        private boolean written;
-        private boolean ended;
+        /** The request was written completely, so the backend may have executed it. */
+        private boolean requestWritten;
+        private boolean completed;
 
-        private Attempt(Backend backend, Message request, long deadline, BooleanSupplier wanted,
+        private Attempt(Backend backend, ClientRequest request, long deadline, BooleanSupplier stillWanted,
                 Listener listener) {
             this.backend = backend;
             this.request = request;
             this.deadline = deadline;
-            this.wanted = wanted;
+            this.stillWanted = stillWanted;
             this.listener = listener;
         }
 
         void cancel() {
-            loop.execute(() -> giveUp(Status.CANCELLED));
+            loop.execute(() -> abort(Status.CANCELLED));
         }
 
-        private void timeOut() {
-            giveUp(written ? Status.TIMEOUT : Status.CONNECT_FAILED);
+        private void onTimeout() {
+            abort(requestWritten ? Status.TIMEOUT : Status.CONNECT_FAILED);
         }
 
-        private void giveUp(Status status) {
-            if (!ended) {
-                end(status, null, null);
+        private void abort(Status status) {
+            if (!completed) {
+                complete(status, null, null);
                 if (connection != null) {
                     connection.channel.close();
                 }
             }
         }
 
-        private void broken() {
-            end(written ? Status.RESET : Status.CONNECT_FAILED, null, null);
+        private void connectionFailed() {
+            complete(requestWritten ? Status.RESET : Status.CONNECT_FAILED, null, null);
         }
 
-        private void end(Status status, Report report, Answer answer) {
-            if (ended) {
+        private void complete(Status status, Report report, Response response) {
+            if (completed) {
                 return;
             }
-            ended = true;
+            completed = true;
             if (timer != null) {
                 timer.cancel(false);
             }
             if (backend != null) {
                 release(backend);
             }
-            listener.ended(this, status, report, answer);
+            listener.onCompleted(this, status, report, response);
         }
 
-        private DefaultFullHttpRequest toWrite() {
-            DefaultFullHttpRequest r = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, request.method(),
-                    request.uri(), Unpooled.wrappedBuffer(request.body()));
-            Message.copyRequest(request.headers(), r.headers());
-            r.headers().set(HttpHeaderNames.HOST, request.headers().get(HttpHeaderNames.HOST, ""));
-            r.headers().set("Request-Timeout", Message.seconds(Math.max(1000, deadline - clock.now())));
+        private DefaultFullHttpRequest toHttpRequest() {
+            DefaultFullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
+                    request.method(), request.uri(), Unpooled.wrappedBuffer(request.body()));
+            ClientRequest.copyRequestHeaders(request.headers(), message.headers());
+            message.headers().set(HttpHeaderNames.HOST, request.headers().get(HttpHeaderNames.HOST, ""));
+            message.headers().set("Request-Timeout",
+                    ClientRequest.formatSeconds(Math.max(1000, deadline - clock.now())));
             if (request.body().length > 0 || !request.method().equals(HttpMethod.GET)) {
-                HttpUtil.setContentLength(r, request.body().length);
+                HttpUtil.setContentLength(message, request.body().length);
             }
-            return r;
+            return message;
         }
     }
 
-    /** A connection: carries one attempt at a time. */
+    /** A connection to a backend, which carries one attempt at a time. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject>
-            implements AnswerDecoder.Listener {
+            implements ResponseDecoder.Listener {
         private final Backend backend;
-        private final AnswerDecoder decoder = new AnswerDecoder(this);
+        private final ResponseDecoder decoder = new ResponseDecoder(this);
         private Channel channel;
         private long idleSince;
-        private Attempt attempt;
+        private Attempt current;
         private HttpResponse head;
         private ByteBuf body;
-        private int interim;
-        /** The answer has ended, but what came with it is still to be seen. */
-        private boolean whole;
-        private boolean trailed;
+        private int interimCount;
+        /** The final response is complete; bytes after it in the same read may still be undecoded. */
+        private boolean responseComplete;
+        private boolean hasTrailingBytes;
 
         Connection(Backend backend) {
             this.backend = backend;
         }
 
-        void begin(Attempt a) {
-            a.connection = this;
-            // Connecting takes time: the news that the backend drains or is gone may have come meanwhile.
-            if (backend.leftAt != 0 && clock.now() - backend.leftAt > drainGraceNs) {
+        void start(Attempt attempt) {
+            attempt.connection = this;
+            // The backend may have started draining or left while the connection was being established.
+            if (backend.outOfServiceSince != 0 && clock.now() - backend.outOfServiceSince > drainGraceNs) {
                 channel.close();
-                loop.execute(() -> a.end(Status.MOOT, null, null));
+                loop.execute(() -> attempt.complete(Status.MOOT, null, null));
                 return;
             }
-            attempt = a;
+            current = attempt;
             head = null;
-            interim = 0;
-            whole = false;
-            trailed = false;
-            body = Unpooled.buffer(512, MOST_BYTES);
-            decoder.expect();
-            channel.writeAndFlush(a.toWrite()).addListener(f -> {
+            interimCount = 0;
+            responseComplete = false;
+            hasTrailingBytes = false;
+            body = Unpooled.buffer(512, MAX_BODY_BYTES);
+            decoder.expectResponse();
+            channel.writeAndFlush(attempt.toHttpRequest()).addListener(f -> {
                 if (f.isSuccess()) {
-                    a.written = true;
+                    attempt.requestWritten = true;
                 } else {
                     channel.close();
                 }
@@ -443,99 +443,101 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-            if (attempt == null || message.decoderResult().isFailure()) {
-                broken();
+            if (current == null || message.decoderResult().isFailure()) {
+                failConnection();
                 return;
             }
-            if (message instanceof HttpResponse r) {
-                head = r;
-                boolean informs = r.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-                if (informs ? ++interim > MOST_INTERIM || r.status().code() == 101 : !framed(r)) {
-                    broken();
+            if (message instanceof HttpResponse response) {
+                head = response;
+                boolean isInterim = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+                if (isInterim ? ++interimCount > MAX_INTERIM_RESPONSES || response.status().code() == 101
+                        : !hasDelimitedBody(response)) {
+                    failConnection();
                     return;
                 }
             }
             if (message instanceof HttpContent content) {
                 if (content.content().readableBytes() > body.maxWritableBytes()) {
-                    broken();
+                    failConnection();
                     return;
                 }
                 body.writeBytes(content.content());
             }
             if (message instanceof LastHttpContent) {
                 if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-                    decoder.expect();
+                    decoder.expectResponse();
                 } else {
-                    whole = true;
-                    decoder.whole();
+                    responseComplete = true;
+                    decoder.responseComplete();
                 }
             }
         }
 
         @Override
-        public void noise() {
-            broken();
+        public void onUnexpectedBytes() {
+            failConnection();
         }
 
         /**
-         * More than the answer's length. If another answer begins there, the first one ended where it said.
-         * Anything else may as well be the rest of its body under too short a length: that is not served.
+         * Handles bytes beyond the declared end of the response. If they start another response, the first
+         * one is complete and is used. Otherwise its Content-Length may be too short, so the attempt fails.
          */
         @Override
-        public void trailing(boolean again) {
-            if (!trailed && !again) {
-                broken();
+        public void onTrailingBytes(boolean startsAnotherResponse) {
+            if (!hasTrailingBytes && !startsAnotherResponse) {
+                failConnection();
             }
-            trailed = true;
+            hasTrailingBytes = true;
         }
 
-        /** Only now is all seen that came with the answer: a connection that holds more is not used again. */
+        /** Completes the attempt only now that all bytes read with the response have been decoded. */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            if (whole && attempt != null) {
-                served();
+            if (responseComplete && current != null) {
+                onResponseComplete();
             }
         }
 
-        private void served() {
-            Attempt a = attempt;
+        private void onResponseComplete() {
+            Attempt attempt = current;
             byte[] bytes = new byte[body.readableBytes()];
             body.readBytes(bytes);
-            attempt = null;
-            decoder.quiet();
-            if (a.written && !trailed && HttpUtil.isKeepAlive(head) && backend.leftAt == 0) {
+            current = null;
+            decoder.expectNothing();
+            if (attempt.requestWritten && !hasTrailingBytes && HttpUtil.isKeepAlive(head)
+                    && backend.outOfServiceSince == 0) {
                 idleSince = clock.now();
-                backend.idle.addLast(this);
-                idle.add(this);
+                backend.idleConnections.addLast(this);
+                idleByAge.add(this);
             } else {
                 channel.close();
             }
-            Status status = status(head);
-            a.end(status, report(head.headers().getAll("Server-Load")),
-                    status == Status.OK || status == Status.MOOT ? new Answer(head, bytes) : null);
+            Status status = statusOf(head);
+            attempt.complete(status, lastValidReport(head.headers().getAll("Server-Load")),
+                    status == Status.OK || status == Status.MOOT ? new Response(head, bytes) : null);
         }
 
         /**
-         * Ends the attempt before the connection: as it closes, the decoder passes on what it holds, and that
-         * must not make a whole answer of one that was found wanting.
+         * Fails the attempt before closing the connection: on close the decoder emits what it has buffered,
+         * which must not complete a response that was rejected.
          */
-        private void broken() {
-            Attempt a = attempt;
-            attempt = null;
-            decoder.quiet();
-            take(this);
-            if (a != null) {
-                a.broken();
+        private void failConnection() {
+            Attempt attempt = current;
+            current = null;
+            decoder.expectNothing();
+            removeFromIdle(this);
+            if (attempt != null) {
+                attempt.connectionFailed();
             }
             channel.close();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (whole && attempt != null) {
-                served(); // the end came in the same go
+            if (responseComplete && current != null) {
+                onResponseComplete(); // the close arrived in the same read
             }
-            broken();
+            failConnection();
         }
 
         @Override
@@ -545,44 +547,46 @@
     }
 
     /**
-     * Does the head tell where its answer ends, within what an answer may hold? One that only the end of the
-     * connection would end cannot be told from one cut short.
+     * Whether the head delimits the body, within the maximum size. A body delimited only by the end of the
+     * connection cannot be distinguished from a truncated one.
      */
-    private static boolean framed(HttpResponse r) {
-        if (!r.protocolVersion().equals(HttpVersion.HTTP_1_1)
-                && !r.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
+    private static boolean hasDelimitedBody(HttpResponse response) {
+        if (!response.protocolVersion().equals(HttpVersion.HTTP_1_1)
+                && !response.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
             return false;
         }
-        return HttpUtil.isTransferEncodingChunked(r) || r.status().code() == 204 || r.status().code() == 304
-                || HttpUtil.isContentLengthSet(r) && HttpUtil.getContentLength(r, -1L) <= MOST_BYTES;
+        return HttpUtil.isTransferEncodingChunked(response)
+                || response.status().code() == 204 || response.status().code() == 304
+                || HttpUtil.isContentLengthSet(response)
+                && HttpUtil.getContentLength(response, -1L) <= MAX_BODY_BYTES;
     }
 
-    private static Status status(HttpResponse r) {
-        int code = r.status().code();
+    private static Status statusOf(HttpResponse response) {
+        int code = response.status().code();
         if (code == 200) {
             return Status.OK;
         }
-        // 4xx speaks of the request, not of the backend: no other would take it, and none is worse for it.
+        // Other 4xx concern the request: any backend would reject it, and they do not reflect on its health.
         if (code / 100 == 4 && code != 408 && code != 425 && code != 429) {
             return Status.MOOT;
         }
-        // Only the backend's own word proves that the request never ran.
-        return (code == 503 || code == 504) && "1".equals(r.headers().get("Not-Started")) ? Status.FULL
-                : Status.ERROR;
+        // Only an explicit Not-Started header proves that the request was not executed.
+        return (code == 503 || code == 504) && "1".equals(response.headers().get("Not-Started"))
+                ? Status.FULL : Status.ERROR;
     }
 
-    /** The last load report that can be read; null if none can. */
-    private static Report report(List<String> texts) {
+    /** Returns the last load report that is valid; null if none is. */
+    private static Report lastValidReport(List<String> texts) {
         Report last = null;
         for (String text : texts) {
-            Report r = report(text);
-            last = r == null ? last : r;
+            Report report = parseReport(text);
+            last = report == null ? last : report;
         }
         return last;
     }
 
-    /** Reads a load report; null if there is none or any of it makes no sense. */
-    static Report report(String text) {
+    /** Parses a load report; returns null if it is absent, has no known field or has an invalid value. */
+    static Report parseReport(String text) {
         if (text == null) {
             return null;
         }
@@ -590,7 +594,7 @@
         Arrays.fill(values, Double.NaN);
         for (String field : text.split(",")) {
             String[] pair = field.trim().split("=", 2);
-            int i = switch (pair[0]) {
+            int column = switch (pair[0]) {
                 case "inflight", "outstanding" -> 0;
                 case "queue", "backlog" -> 1;
                 case "util", "utilization" -> 2;
@@ -599,13 +603,14 @@
                 case "eps", "errors_per_s" -> 5;
                 default -> -1;
             };
-            if (i >= 0) {
+            if (column >= 0) {
                 try {
-                    values[i] = Double.parseDouble(pair.length < 2 ? "" : pair[1]);
+                    values[column] = Double.parseDouble(pair.length < 2 ? "" : pair[1]);
                 } catch (NumberFormatException e) {
                     return null;
                 }
-                if (!(values[i] >= 0 && values[i] <= (i == 2 ? MOST_UTIL : MOST_COUNT))) {
+                if (!(values[column] >= 0
+                        && values[column] <= (column == 2 ? MAX_UTILIZATION : MAX_REPORTED_COUNT))) {
                     return null;
                 }
             }
--- /dev/null
+++ b/src/main/java/dewstage/proxy/ClientConnection.java
@@ -0,0 +1,318 @@
+package dewstage.proxy;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFutureListener;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.channel.nio.AbstractNioChannel;
+import io.netty.channel.socket.DuplexChannel;
+import io.netty.handler.codec.TooLongFrameException;
+import io.netty.handler.codec.http.DefaultFullHttpResponse;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpObject;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
+import io.netty.handler.codec.http.LastHttpContent;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayDeque;
+import java.util.Deque;
+
+/**
+ * A client's connection. Requests are handled one at a time and a few pipelined ones are queued. A malformed
+ * request, or too many queued ones, are answered by an error that closes the connection.
+ */
+final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
+    /** Receives complete requests and is notified of responses and of the close. */
+    interface Owner {
+        void onRequest(ClientConnection client, ClientRequest request, long arrivedAt);
+
+        /** Called before a response is written; returns true to close the connection after it. */
+        boolean onResponse(ClientConnection client, int status);
+
+        void onClosed(ClientConnection client);
+
+        long now();
+
+        /** Returns the earliest time at which data that is read now may have arrived. */
+        long earliestArrival();
+    }
+
+    /** Maximum number of queued requests per connection: enough for clients that pipeline. */
+    static final int MAX_PIPELINED_REQUESTS = 16;
+
+    /** A complete request, or the error response to an invalid one, after which nothing is read. */
+    private record QueuedRequest(ClientRequest request, int status, String error, long arrivedAt,
+            boolean keepAlive) { }
+
+    final long connectedAt;
+    private final Channel channel;
+    private final RequestDecoder decoder;
+    private final Owner owner;
+    private final Deque<QueuedRequest> queue = new ArrayDeque<>();
+    private HttpRequest requestHead;
+    private ByteBuf body;
+    private ClientRequest acceptedRequest;
+    /** A request is being handled and has no response yet. */
+    private boolean busy;
+    /** The last response is not yet written to the socket. */
+    private boolean responseInFlight;
+    private boolean keepAlive;
+    private boolean used;
+    /** Further input is discarded: an error response or the close is pending. */
+    private boolean closing;
+    private long partialSince;
+    private long idleSince;
+    private long closingSince;
+
+    ClientConnection(Channel channel, RequestDecoder decoder, Owner owner) {
+        this.channel = channel;
+        this.decoder = decoder;
+        this.owner = owner;
+        this.connectedAt = owner.now();
+        this.idleSince = connectedAt;
+    }
+
+    /** Whether no request is open or partially read and the last response is written. */
+    boolean isIdle() {
+        return !busy && !responseInFlight && queue.isEmpty() && !hasPartialRequest();
+    }
+
+    /** Whether a valid request has been answered on this connection. */
+    boolean isUsed() {
+        return used;
+    }
+
+    boolean isBusy() {
+        return busy;
+    }
+
+    /**
+     * Checks whether the client is still connected. Reads the socket first, since a close may be unread,
+     * behind other data or since the loop's last select, and no attempt may start for a disconnected client.
+     * The in-process channels of a rehearsal have no unread data.
+     */
+    boolean checkConnected() {
+        if (channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket && channel.isActive()) {
+            socket.read();
+        }
+        return channel.isActive();
+    }
+
+    /** Records that the current request is valid and has been passed to the proxy. */
+    void markAccepted(ClientRequest request) {
+        acceptedRequest = request;
+    }
+
+    /** Returns the accepted request that has no response yet, or null. */
+    ClientRequest acceptedRequest() {
+        return acceptedRequest;
+    }
+
+    private boolean hasPartialRequest() {
+        return partialSince != 0;
+    }
+
+    /** Closes the connection immediately to free its descriptor. */
+    void close() {
+        channel.close();
+    }
+
+    /** Closes a connection without an open request. */
+    void closeGracefully() {
+        if (closing) {
+            return;
+        }
+        closing = true;
+        closingSince = owner.now();
+        decoder.discardInput();
+        halfClose();
+    }
+
+    /**
+     * Closes the sending side; the connection is closed once the client closes it too, or on a timeout. A
+     * full close with unread client data would reset the connection, which can discard a response in transit.
+     */
+    private void halfClose() {
+        if (channel instanceof DuplexChannel duplex) {
+            duplex.shutdownOutput().addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
+        } else {
+            channel.close();
+        }
+    }
+
+    /** Closes the connection if its request, its client's close or its next request is overdue. */
+    void closeIfTimedOut(long now, long requestTimeoutNs, long idleTimeoutNs) {
+        if (closing) {
+            if (now - closingSince > requestTimeoutNs && !busy) {
+                channel.close(); // the client has not closed its side in time
+            }
+        } else if (hasPartialRequest() && now - partialSince > requestTimeoutNs) {
+            rejectAndClose(408, "the request did not come in time");
+        } else if (isIdle() && now - idleSince > (used ? idleTimeoutNs : requestTimeoutNs)) {
+            closeGracefully();
+        }
+    }
+
+    @Override
+    protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
+        if (closing) {
+            return;
+        }
+        if (message.decoderResult().isFailure()) {
+            boolean tooLong = message.decoderResult().cause() instanceof TooLongFrameException;
+            rejectAndClose(tooLong ? 431 : 400, tooLong ? "the head is too long" : "malformed request");
+            return;
+        }
+        if (message instanceof HttpRequest request && !startRequest(request)) {
+            return;
+        }
+        if (message instanceof HttpContent content) {
+            if (content.content().readableBytes() > body.maxWritableBytes()) {
+                rejectAndClose(413, "the body is too long");
+                return;
+            }
+            body.writeBytes(content.content());
+        }
+        if (message instanceof LastHttpContent) {
+            byte[] bytes = new byte[body.readableBytes()];
+            body.readBytes(bytes);
+            enqueue(new QueuedRequest(
+                    new ClientRequest(requestHead.method(), requestHead.uri(), requestHead.headers(), bytes),
+                    0, null, owner.earliestArrival(), HttpUtil.isKeepAlive(requestHead)));
+            requestHead = null;
+            body = null;
+            decoder.requestComplete();
+        }
+    }
+
+    /** Handles the head of a request; returns false if the request is rejected. */
+    private boolean startRequest(HttpRequest receivedHead) {
+        if (!receivedHead.protocolVersion().equals(HttpVersion.HTTP_1_1)
+                && !receivedHead.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
+            rejectAndClose(505, "this is HTTP/1.1");
+        } else if (HttpUtil.getContentLength(receivedHead, 0L) > Backends.MAX_BODY_BYTES) {
+            rejectAndClose(413, "the body is too long"); // rejected unread: it may be arbitrarily long
+        } else if (receivedHead.headers().contains(HttpHeaderNames.EXPECT)
+                && !HttpUtil.is100ContinueExpected(receivedHead)) {
+            rejectAndClose(417, "nothing to be expected but 100-continue");
+        } else {
+            if (HttpUtil.is100ContinueExpected(receivedHead) && !busy && queue.isEmpty()) {
+                channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
+                        HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+            }
+            requestHead = receivedHead;
+            body = Unpooled.buffer(256, Backends.MAX_BODY_BYTES);
+            return true;
+        }
+        return false;
+    }
+
+    private void enqueue(QueuedRequest item) {
+        if (queue.size() < MAX_PIPELINED_REQUESTS) {
+            queue.add(item);
+        } else {
+            // Ordinary clients do not pipeline this many requests. None of the queued ones has been sent to a
+            // backend, and their deadlines would expire in the queue.
+            queue.clear();
+            rejectAndClose(429, "too many requests at once on a connection");
+        }
+    }
+
+    /** Queues an error response behind the queued requests; the connection is closed after it. */
+    private void rejectAndClose(int status, String error) {
+        closing = true;
+        closingSince = owner.now();
+        decoder.discardInput();
+        requestHead = null;
+        body = null;
+        partialSince = 0;
+        queue.add(new QueuedRequest(null, status, error, closingSince, false));
+        if (!busy) {
+            channel.eventLoop().execute(this::handleNext);
+        }
+    }
+
+    /** Starts the next request only now that all received ones are queued and counted. */
+    @Override
+    public void channelReadComplete(ChannelHandlerContext ctx) {
+        if (!closing && decoder.inRequest()) {
+            // The timeout of a connection's first request runs from the accept, however slowly it is sent.
+            partialSince = hasPartialRequest() ? partialSince : used || busy ? owner.now() : connectedAt;
+        } else {
+            partialSince = 0;
+        }
+        handleNext();
+    }
+
+    private void handleNext() {
+        while (!busy && !queue.isEmpty() && channel.isActive()) {
+            QueuedRequest item = queue.poll();
+            busy = true;
+            keepAlive = item.keepAlive();
+            if (item.error() == null) {
+                owner.onRequest(this, item.request(), item.arrivedAt());
+            } else {
+                respond(item.status(), null, item.error());
+            }
+        }
+    }
+
+    /** Writes the final response to the current request; nothing is written to a disconnected client. */
+    void respond(int status, HttpHeaders headers, byte[] content) {
+        DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
+                HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(content));
+        if (headers != null) {
+            ClientRequest.copyResponseHeaders(headers, response.headers());
+        }
+        HttpUtil.setContentLength(response, content.length);
+        busy = false;
+        used |= acceptedRequest != null || status == 200;
+        idleSince = owner.now();
+        boolean wasAccepted = acceptedRequest != null;
+        boolean closeAfterResponse = owner.onResponse(this, status) && queue.isEmpty() || !keepAlive;
+        acceptedRequest = null;
+        if (closeAfterResponse) {
+            response.headers().set(HttpHeaderNames.CONNECTION, "close");
+            closing = true;
+            closingSince = idleSince;
+            decoder.discardInput();
+        }
+        responseInFlight = true;
+        channel.writeAndFlush(response).addListener(future -> {
+            responseInFlight = false;
+            if (closeAfterResponse && wasAccepted && future.isSuccess()) {
+                halfClose();
+            } else if (closeAfterResponse || !future.isSuccess()) {
+                channel.close(); // a client that sent no valid request may never close its side
+            }
+        });
+        if (closeAfterResponse) {
+            queue.clear();
+        } else if (!queue.isEmpty()) {
+            channel.eventLoop().execute(this::handleNext);
+        }
+    }
+
+    void respond(int status, HttpHeaders headers, String text) {
+        respond(status, headers, (text + "\n").getBytes(StandardCharsets.UTF_8));
+    }
+
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
+        busy = false;
+        queue.clear();
+        owner.onClosed(this);
+        acceptedRequest = null;
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        ctx.close();
+    }
+}
--- a/src/main/java/dewstage/proxy/Frontend.java
+++ b/src/main/java/dewstage/proxy/Frontend.java
@@ -21,57 +21,57 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/**
- * The clients' side: keeps their connections within the limits and hands over the requests that make
- * sense.
- */
-final class Frontend implements Client.Owner {
-    /** Who takes the requests. */
-    interface Taker {
-        boolean ready();
+/** Accepts client connections, enforces their limits, and passes valid requests to a handler. */
+final class Frontend implements ClientConnection.Owner {
+    /** Handles valid client requests. */
+    interface RequestHandler {
+        boolean isReady();
 
-        void taken(Client client, Message message, RequestTerms terms, long at);
+        void onClientRequest(ClientConnection client, ClientRequest request, RequestMetadata metadata,
+                long arrivedAt);
 
-        /** The client has gone away before its answer. */
-        void gone(Client client);
+        /** The client disconnected before its response. */
+        void onClientGone(ClientConnection client);
     }
 
     /**
-     * A connection has so long to bring its first whole request, and every later one from its first byte on.
-     * Guards against clients that say nothing, or half of something: each would hold a descriptor for good.
+     * Maximum time for a connection's first complete request from accept, and for a later one from its first
+     * byte. Without it, clients that send nothing or part of a request would hold their descriptors forever.
      */
-    private static final long REQUEST_NS = 1_800_000_000L;
-    /** A new one's first bytes come within so long, if its client means to ask. */
-    private static final long FRESH_NS = 250_000_000L;
-    /** One that was used may stand idle for so long: usual clients come again sooner. */
-    private static final long IDLE_NS = 5_000_000_000L;
-    /** Reads of a client's socket in one go: what so many leave unread waits for the loop's next round. */
-    private static final int READS = 16;
-    private static final long SWEEP_MS = 200, AGE_MS = 4000, COUNT_MS = 10_000;
+    private static final long REQUEST_TIMEOUT_NS = 1_800_000_000L;
+    /** Time within which a client that intends to send a request sends its first bytes. */
+    private static final long FIRST_BYTES_TIMEOUT_NS = 250_000_000L;
+    /** Maximum idle time between requests; ordinary clients send their next request sooner. */
+    private static final long IDLE_TIMEOUT_NS = 5_000_000_000L;
+    /** Maximum reads of a client's socket per iteration of the event loop. */
+    private static final int MAX_READS_PER_LOOP = 16;
+    private static final long SWEEP_INTERVAL_MS = 200;
+    private static final long ID_EXPIRY_MS = 4000;
+    private static final long STATS_INTERVAL_MS = 10_000;
 
     private final Config config;
     private final Clock clock;
     private final Sockets.Share sockets;
-    private final Taker taker;
+    private final RequestHandler requestHandler;
     private final RequestIds ids = new RequestIds();
-    /** Connections that never brought a request that made sense, the oldest first. */
-    private final Set<Client> unused = new LinkedHashSet<>();
-    /** The others, the one that was answered longest ago first. */
-    private final Set<Client> used = new LinkedHashSet<>();
-    /** Answers to what made no sense, by status: a line of the log for each would be one for the asking. */
-    private final Map<Integer, Integer> rejected = new TreeMap<>();
-    private final Crowding crowding = new Crowding();
+    /** Connections without a valid request so far, the oldest first. */
+    private final Set<ClientConnection> unusedClients = new LinkedHashSet<>();
+    /** The other connections, the least recently used first. */
+    private final Set<ClientConnection> usedClients = new LinkedHashSet<>();
+    /** Invalid requests by response status. Counted, since clients could flood a log line per request. */
+    private final Map<Integer, Integer> rejectedByStatus = new TreeMap<>();
+    private final ClientConnectionStats connectionStats = new ClientConnectionStats();
     private final LoopLag lag;
     private Channel listener;
     private boolean draining;
 
-    Frontend(Config config, Clock clock, LoopLag lag, Sockets.Share sockets, Taker taker) {
+    Frontend(Config config, Clock clock, LoopLag lag, Sockets.Share sockets, RequestHandler requestHandler) {
         this.config = config;
         this.clock = clock;
         this.lag = lag;
         this.sockets = sockets;
-        this.taker = taker;
-        sockets.whenFull(this::closeOneIdle);
+        this.requestHandler = requestHandler;
+        sockets.onExhausted(this::evictOne);
     }
 
     ChannelFuture listen(EventLoop loop) {
@@ -79,9 +79,9 @@
                 .option(ChannelOption.SO_BACKLOG, 1024)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                // Up to the end, not up to the first short read: behind that a close would stand unread.
+                // Reads until the socket is empty: after a first short read a close could remain unread.
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator()
-                        .respectMaybeMoreData(false).maxMessagesPerRead(READS))
+                        .respectMaybeMoreData(false).maxMessagesPerRead(MAX_READS_PER_LOOP))
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel c) {
@@ -89,87 +89,93 @@
                     }
                 }).bind(config.listen());
         listener = bound.channel();
-        loop.scheduleWithFixedDelay(() -> lag.beat(clock.now()), 0, LoopLag.BEAT_NS, TimeUnit.NANOSECONDS);
-        loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
-        loop.scheduleWithFixedDelay(ids::age, AGE_MS, AGE_MS, TimeUnit.MILLISECONDS);
-        loop.scheduleWithFixedDelay(this::sayRejected, COUNT_MS, COUNT_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(() -> lag.heartbeat(clock.now()), 0, LoopLag.HEARTBEAT_INTERVAL_NS,
+                TimeUnit.NANOSECONDS);
+        loop.scheduleWithFixedDelay(this::closeTimedOut, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(ids::expireClosed, ID_EXPIRY_MS, ID_EXPIRY_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(this::logStats, STATS_INTERVAL_MS, STATS_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
         return bound;
     }
 
-    /** A new connection of a client. */
-    void accept(Channel c) {
-        crowding.accepted++;
-        if (!sockets.take()) {
-            crowding.refused++;
-            c.close();
+    /** Sets up a new client connection, or closes it if all slots are taken. */
+    void accept(Channel channel) {
+        connectionStats.accepted++;
+        if (!sockets.tryAcquire()) {
+            connectionStats.rejected++;
+            channel.close();
             return;
         }
-        c.closeFuture().addListener(f -> sockets.release());
+        channel.closeFuture().addListener(f -> sockets.release());
         RequestDecoder decoder = new RequestDecoder();
-        Client client = new Client(c, decoder, this);
-        c.pipeline().addLast(decoder, new HttpResponseEncoder(), client);
-        unused.add(client);
+        ClientConnection client = new ClientConnection(channel, decoder, this);
+        channel.pipeline().addLast(decoder, new HttpResponseEncoder(), client);
+        unusedClients.add(client);
     }
 
-    private void sweep() {
+    private void closeTimedOut() {
         long now = clock.now();
-        Stream.concat(unused.stream(), used.stream()).toList().forEach(c -> c.check(now, REQUEST_NS,
-                IDLE_NS));
+        Stream.concat(unusedClients.stream(), usedClients.stream()).toList()
+                .forEach(c -> c.closeIfTimedOut(now, REQUEST_TIMEOUT_NS, IDLE_TIMEOUT_NS));
     }
 
-    private void sayRejected() {
-        if (!rejected.isEmpty()) {
-            Log.line("requests that made no sense, by status: " + rejected);
-            rejected.clear();
+    private void logStats() {
+        if (!rejectedByStatus.isEmpty()) {
+            Log.line("invalid requests by response status: " + rejectedByStatus);
+            rejectedByStatus.clear();
         }
-        crowding.report();
+        connectionStats.logAndReset();
     }
 
-    /** Answers from now on end their connections. */
+    /** Closes each connection after its next response. */
     void drain() {
         draining = true;
     }
 
-    /** Takes no more connections, and ends those between requests. */
+    /** Closes the listener and all connections without an open request. */
     void close() {
         listener.close();
-        sayRejected();
-        Stream.concat(unused.stream(), used.stream()).filter(Client::idle).toList().forEach(Client::leave);
+        logStats();
+        Stream.concat(unusedClients.stream(), usedClients.stream()).filter(ClientConnection::isIdle).toList()
+                .forEach(ClientConnection::closeGracefully);
     }
 
     /**
-     * Closes a connection with no request open: the oldest of those that were never used, or else the one
-     * that is idle longest. One that has just come is the last choice: its request may be on the way, or
-     * there unread, and is lost with it, while a client whose connection is closed between requests opens
-     * another. Guards against any crowd that asks once and stays, where new clients would push out each
-     * other. It would do harm where a crowd says nothing and clients that stay have far to come back. False
-     * if there is none.
+     * Closes a connection without an open request to free its slot; returns false if there is none. Prefers
+     * the oldest unused connection if it is overdue, then the one idle longest. A connection that was just
+     * accepted comes last: its request may be in transit or unread and would be lost, whereas a client
+     * whose connection is closed between requests opens another. So new clients do not evict each other when
+     * many clients send one request and keep their connections. The price: many silent clients can evict
+     * idle connections that are expensive to re-establish.
      */
-    private boolean closeOneIdle() {
-        boolean old = !unused.isEmpty() && clock.now() - unused.iterator().next().connectedAt > FRESH_NS;
-        return old && closeFirst(unused, false) || closeFirst(used, true) || closeFirst(unused, false);
-    }
-
-    private boolean closeFirst(Set<Client> clients, boolean idle) {
-        for (Iterator<Client> i = clients.iterator(); i.hasNext();) {
-            Client c = i.next();
-            if (idle ? c.idle() : !c.busy()) {
-                // Not left to channelInactive, which comes later: a burst of new connections would all be
-                // given the place of this one, and the process would run out of descriptors.
-                i.remove();
-                crowding.closed(c, clock.now());
-                c.close();
+    private boolean evictOne() {
+        boolean oldestIsOverdue = !unusedClients.isEmpty()
+                && clock.now() - unusedClients.iterator().next().connectedAt > FIRST_BYTES_TIMEOUT_NS;
+        return oldestIsOverdue && evictFirst(unusedClients, false) || evictFirst(usedClients, true)
+                || evictFirst(unusedClients, false);
+    }
+
+    private boolean evictFirst(Set<ClientConnection> clients, boolean requireIdle) {
+        for (Iterator<ClientConnection> candidates = clients.iterator(); candidates.hasNext();) {
+            ClientConnection client = candidates.next();
+            if (requireIdle ? client.isIdle() : !client.isBusy()) {
+                // Not left to channelInactive, which is called later: until then every new connection of a
+                // burst would be given this slot, and the process would run out of descriptors.
+                candidates.remove();
+                connectionStats.recordEviction(client, clock.now());
+                client.close();
                 return true;
             }
         }
         return false;
     }
 
-    int open() {
-        return unused.size() + used.size();
+    int openConnections() {
+        return unusedClients.size() + usedClients.size();
     }
 
-    // ---- what the connections say ----
+    // ---- events of the connections ----
 
     @Override
     public long now() {
@@ -182,57 +188,59 @@
     }
 
     @Override
-    public void whole(Client client, Message m, long at) {
-        String path = new QueryStringDecoder(m.uri()).rawPath();
+    public void onRequest(ClientConnection client, ClientRequest request, long arrivedAt) {
+        String path = new QueryStringDecoder(request.uri()).rawPath();
         if (path.equals("/_health")) {
-            boolean up = taker.ready() && !draining;
-            int status = up ? 200 : 503;
-            client.answer(m.method().equals(HttpMethod.GET) ? status : 405, null, up ? "ready" : "not ready");
+            boolean isServing = requestHandler.isReady() && !draining;
+            int status = isServing ? 200 : 503;
+            client.respond(request.method().equals(HttpMethod.GET) ? status : 405, null,
+                    isServing ? "ready" : "not ready");
             return;
         }
         int slash = path.indexOf('/', 1);
-        int profile = path.startsWith("/")
+        int profileIndex = path.startsWith("/")
                 ? config.classes().indexOf(path.substring(1, slash < 0 ? path.length() : slash)) : -1;
-        if (profile < 0) {
-            client.answer(404, null, "no such class");
+        if (profileIndex < 0) {
+            client.respond(404, null, "no such class");
             return;
         }
-        Profile p = config.settings().profiles().get(profile);
-        HttpMethod method = p.effect() == Effect.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
-        String wrong = RequestTerms.wrong(m, p);
-        if (!m.method().equals(method)) {
-            client.answer(405, null, "this class takes " + method);
-        } else if (wrong != null) {
-            client.answer(400, null, wrong);
-        } else if (!ids.open(m.id())) {
-            client.answer(409, null, "this Request-Id is another request's");
+        Profile profile = config.settings().profiles().get(profileIndex);
+        HttpMethod method = profile.effect() == Effect.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
+        String validationError = RequestMetadata.validationError(request, profile);
+        if (!request.method().equals(method)) {
+            client.respond(405, null, "this class takes " + method);
+        } else if (validationError != null) {
+            client.respond(400, null, validationError);
+        } else if (!ids.tryOpen(request.id())) {
+            client.respond(409, null, "this Request-Id is another request's");
         } else {
-            client.take(m);
-            crowding.requests++;
-            taker.taken(client, m, RequestTerms.of(m, profile, config), at);
+            client.markAccepted(request);
+            connectionStats.acceptedRequests++;
+            requestHandler.onClientRequest(client, request, RequestMetadata.of(request, profileIndex, config),
+                    arrivedAt);
         }
     }
 
     @Override
-    public boolean answered(Client client, int status) {
-        if (client.taken() != null) {
-            ids.close(client.taken().id());
+    public boolean onResponse(ClientConnection client, int status) {
+        if (client.acceptedRequest() != null) {
+            ids.close(client.acceptedRequest().id());
         } else if (status >= 400 && status < 500) {
-            rejected.merge(status, 1, Integer::sum);
+            rejectedByStatus.merge(status, 1, Integer::sum);
         }
-        if (unused.remove(client) || used.remove(client)) {
-            (client.used() ? used : unused).add(client); // to the end of the order of use
+        if (unusedClients.remove(client) || usedClients.remove(client)) {
+            (client.isUsed() ? usedClients : unusedClients).add(client); // moves it to the end
         }
         return draining;
     }
 
     @Override
-    public void closed(Client client) {
-        unused.remove(client);
-        used.remove(client);
-        if (client.taken() != null) {
-            ids.close(client.taken().id());
-            taker.gone(client);
+    public void onClosed(ClientConnection client) {
+        unusedClients.remove(client);
+        usedClients.remove(client);
+        if (client.acceptedRequest() != null) {
+            ids.close(client.acceptedRequest().id());
+            requestHandler.onClientGone(client);
         }
     }
 
--- a/src/main/java/dewstage/proxy/LoopLag.java
+++ b/src/main/java/dewstage/proxy/LoopLag.java
@@ -3,50 +3,50 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Notices when the event loop stood still, stopped by the system or short of a core, and remembers how long.
- * What is read right after a stall may have come at any time since its start: a request counted from its
- * reading would be answered by so much too late. Hurts only what has just come then: it has less time than
- * its client gave it.
+ * Detects stalls of the event loop, as when the process is suspended or short of CPU time. Data read right
+ * after a stall may have arrived at any time since the stall began, so a request whose timeout ran from the
+ * read would be answered too late by the length of the stall. Requests that did arrive only after it are
+ * given less time than their clients allow.
  */
 final class LoopLag {
-    /** The loop's own heartbeat; with none for twice as long it stood still. */
-    static final long BEAT_NS = 50_000_000L;
-    /** A stall is forgotten to a third within so long: whatever causes one seldom causes one only. */
-    static final long MEMORY_NS = 10_000_000_000L;
+    /** Interval between heartbeats of the loop; a gap of more than twice this is a stall. */
+    static final long HEARTBEAT_INTERVAL_NS = 50_000_000L;
+    /** Time in which a past stall decays to 1/e, about a third; its cause seldom leads to only one stall. */
+    static final long STALL_DECAY_NS = 10_000_000_000L;
 
-    private long beatAt;
-    private long since;
-    private long until;
-    private long longest;
-    private long longestAt;
+    private long heartbeatAt;
+    private long stallStartedAt;
+    private long stallEffectEndsAt;
+    private long longestStallNs;
+    private long longestStallAt;
 
-    void beat(long now) {
-        if (stalled(now)) {
-            since = beatAt;
-            // New connections are accepted first and read after: all that waited is taken in within a beat.
-            until = now + BEAT_NS;
-            longest = longest(now);
-            longestAt = now;
-            Log.line("stood still for " + TimeUnit.NANOSECONDS.toMillis(now - beatAt) + " ms");
+    void heartbeat(long now) {
+        if (isStalled(now)) {
+            stallStartedAt = heartbeatAt;
+            // New connections are accepted first and read later; all that waited is read within an interval.
+            stallEffectEndsAt = now + HEARTBEAT_INTERVAL_NS;
+            longestStallNs = expectedStallNs(now);
+            longestStallAt = now;
+            Log.line("event loop stalled for " + TimeUnit.NANOSECONDS.toMillis(now - heartbeatAt) + " ms");
         }
-        beatAt = now;
+        heartbeatAt = now;
     }
 
-    /** The earliest time at which what is read now may have come. */
+    /** Returns the earliest time at which data that is read now may have arrived. */
     long earliestArrival(long now) {
-        if (stalled(now)) {
-            return beatAt;
+        if (isStalled(now)) {
+            return heartbeatAt;
         }
-        return now < until ? since : now;
+        return now < stallEffectEndsAt ? stallStartedAt : now;
     }
 
-    /** The stall to reckon with, in ns: the longest seen lately, less the longer it is ago; 0 if none was. */
-    long longest(long now) {
-        long seen = (long) (longest * Math.exp((longestAt - now) / (double) MEMORY_NS));
-        return stalled(now) ? Math.max(seen, now - beatAt) : seen;
+    /** Returns the stall to allow for: the longest recent one, decayed by its age; 0 if there was none. */
+    long expectedStallNs(long now) {
+        long decayedNs = (long) (longestStallNs * Math.exp((longestStallAt - now) / (double) STALL_DECAY_NS));
+        return isStalled(now) ? Math.max(decayedNs, now - heartbeatAt) : decayedNs;
     }
 
-    private boolean stalled(long now) {
-        return beatAt != 0 && now - beatAt > 2 * BEAT_NS;
+    private boolean isStalled(long now) {
+        return heartbeatAt != 0 && now - heartbeatAt > 2 * HEARTBEAT_INTERVAL_NS;
     }
 }
--- a/src/main/java/dewstage/proxy/NonPollingIoHandler.java
+++ b/src/main/java/dewstage/proxy/NonPollingIoHandler.java
@@ -11,33 +11,32 @@
  * An I/O handler that sleeps until a timer is due instead of polling for it.
  *
  * <p>Netty's NIO handler passes whole milliseconds to the selector and rounds to the nearest. With a timer
- * due in less than half a millisecond it therefore does not block at all, and the event loop runs round after
- * round, each with a system call, until the clock has reached the timer. That takes a core for up to half a
- * millisecond at each timer, and for longer where the clock stands still between waits. Here the delay is
- * rounded up: a timer may fire up to one millisecond late, and a round of the loop has something to do or
- * blocks.
+ * due in less than half a millisecond it therefore does not block at all, and the event loop spins, with a
+ * system call per iteration, until the timer is due. That occupies a core for up to half a millisecond per
+ * timer, and for longer where the clock does not advance between waits. Here the delay is rounded up: a timer
+ * may fire up to one millisecond late, and an iteration of the loop either has work or blocks.
  */
 final class NonPollingIoHandler implements IoHandler {
     private static final long MILLISECOND_NS = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final IoHandler delegate;
-    private RoundedUp context;
+    private RoundingContext roundingContext;
 
     private NonPollingIoHandler(IoHandler delegate) {
         this.delegate = delegate;
     }
 
-    /** Makes handlers that pass everything to those of another factory, but for delays that they round up. */
-    static IoHandlerFactory over(IoHandlerFactory factory) {
+    /** Wraps the handlers of a factory so that they round up the delay until the next timer. */
+    static IoHandlerFactory wrap(IoHandlerFactory factory) {
         return executor -> new NonPollingIoHandler(factory.newHandler(executor));
     }
 
     @Override
-    public int run(IoHandlerContext plain) {
-        if (context == null || context.plain != plain) {
-            context = new RoundedUp(plain);
+    public int run(IoHandlerContext loopContext) {
+        if (roundingContext == null || roundingContext.loopContext != loopContext) {
+            roundingContext = new RoundingContext(loopContext);
         }
-        return delegate.run(context);
+        return delegate.run(roundingContext);
     }
 
     @Override
@@ -70,34 +69,34 @@
         return delegate.isCompatible(type);
     }
 
-    /** The event loop's context with the delay until its next timer in whole milliseconds, rounded up. */
-    private record RoundedUp(IoHandlerContext plain) implements IoHandlerContext {
+    /** Rounds up the delay until the event loop's next timer to whole milliseconds. */
+    private record RoundingContext(IoHandlerContext loopContext) implements IoHandlerContext {
         @Override
         public boolean canBlock() {
-            return plain.canBlock();
+            return loopContext.canBlock();
         }
 
         @Override
         public long delayNanos(long now) {
-            long delay = plain.delayNanos(now);
-            long rest = delay % MILLISECOND_NS;
-            return delay <= 0 || rest == 0 || delay > Long.MAX_VALUE - MILLISECOND_NS
-                    ? delay : delay - rest + MILLISECOND_NS;
+            long delayNs = loopContext.delayNanos(now);
+            long remainderNs = delayNs % MILLISECOND_NS;
+            return delayNs <= 0 || remainderNs == 0 || delayNs > Long.MAX_VALUE - MILLISECOND_NS
+                    ? delayNs : delayNs - remainderNs + MILLISECOND_NS;
         }
 
         @Override
         public long deadlineNanos() {
-            return plain.deadlineNanos();
+            return loopContext.deadlineNanos();
         }
 
         @Override
         public void reportActiveIoTime(long activeNanos) {
-            plain.reportActiveIoTime(activeNanos);
+            loopContext.reportActiveIoTime(activeNanos);
         }
 
         @Override
         public boolean shouldReportActiveIoTime() {
-            return plain.shouldReportActiveIoTime();
+            return loopContext.shouldReportActiveIoTime();
         }
     }
 }
--- a/src/main/java/dewstage/proxy/Proxy.java
+++ b/src/main/java/dewstage/proxy/Proxy.java
@@ -32,67 +32,71 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One proxy: the decision module, the requests that it has taken and the sockets round it, all on one event
- * loop. Events become calls of the module, its actions become I/O; where, whether and when are its decisions.
+ * One proxy: the decision module, the open requests and the network I/O, all on one event loop. Events are
+ * passed to the module and its actions are performed as I/O; the module decides on every attempt.
  */
-public final class Proxy implements Balancer.Actions, Frontend.Taker, Discovery.Listener {
+public final class Proxy implements Balancer.Actions, Frontend.RequestHandler, Discovery.Listener {
     /**
-     * A timeout counts from the client's send and is kept when the answer has reached it. The module is told
-     * of so much less, and if it has not ended the request in half of that, the backstop does. Where the
-     * loop stood still lately the margin covers what such a stall lasts beyond LATE_NS, within a share of the
-     * timeout: what waits for an answer up to its last moment is lost in the next one. The price is the rare
-     * answer that comes so late.
+     * The module's deadline is this much earlier than the client's, which runs from the client's send to its
+     * receipt of the response. If the module misses its deadline by half of the margin, the backstop timer
+     * responds. After a recent stall of the event loop the margin is extended by the stall's excess over
+     * LOST_AFTER_NS, up to a fraction of the timeout: a request that waits until the last moment would be
+     * lost in the next stall. The price is the rare backend response that arrives within the extended margin.
      */
     private static final long MARGIN_NS = 10_000_000L;
-    /** An answer that is later than this counts as lost, by the rules; before that it only earns nothing. */
-    private static final long LATE_NS = 500_000_000L;
-    private static final double MARGIN_MOST = 0.25;
-    /** With the list that it was started with a proxy serves if discovery says nothing for so long. */
-    static final long LIST_WAIT_MS = 3000;
-    /** After SIGTERM clients go on coming for 0.4 s at the most; then the listener closes. */
-    private static final long ACCEPT_MS = 550;
+    /** A response later than this is accounted as lost; one that is less late merely has no worth. */
+    private static final long LOST_AFTER_NS = 500_000_000L;
+    private static final double MAX_MARGIN_FRACTION = 0.25;
+    /** Time to wait for discovery's first list before serving on the configured one. */
+    static final long DISCOVERY_WAIT_MS = 3000;
+    /** Time from SIGTERM to the close of the listener; clients keep connecting for up to 0.4 s. */
+    private static final long DRAIN_ACCEPT_MS = 550;
     /**
-     * Requests come whole within so long after that, or never; and an answer is read within so long, which
-     * its client shows by closing the connection. What the process leaves behind as it ends may be reset.
+     * Time after the close of the listener, or after the last response, within which pending requests have
+     * been received and clients have read their responses, which they show by closing. Connections that are
+     * open when the process exits may be reset.
      */
-    private static final long DRAIN_SLACK_NS = 100_000_000L, DRAIN_LOOK_MS = 10;
+    private static final long DRAIN_SLACK_NS = 100_000_000L;
+    private static final long DRAIN_POLL_INTERVAL_MS = 10;
 
     /**
-     * Requests that are played before the proxy serves, and the longest that may take. While a proxy
-     * rehearses the others carry its load, and if the next one is told to end meanwhile, nobody does; with
-     * fewer than some 100 requests played, up to a fifth of the first 5 s is late or refused.
+     * Number of requests in the rehearsal. With fewer than about 100, up to a fifth of the requests in the
+     * first 5 s are late or refused. Each one prolongs the start, during which the other proxies carry this
+     * one's load; if the next proxy is restarted meanwhile, no proxy is left for it.
      */
-    private static final int REHEARSED = 150;
-    static final long REHEARSAL_MS = 2000;
+    private static final int REHEARSAL_REQUESTS = 150;
+    static final long MAX_REHEARSAL_MS = 2000;
 
-    /** Of a proxy started with this variable set, each attempt leaves a line in the log. */
+    /** Whether each attempt is logged. */
     private static final boolean LOG_ATTEMPTS = System.getenv("NODE_LOG_ATTEMPTS") != null;
 
     private interface Event {
-        void at(long now);
+        void dispatch(long now);
     }
 
-    /** A request that was taken; kept until it is answered and its last attempt has ended. */
+    /** An accepted request, tracked until it is answered and its last attempt has completed. */
     private static final class Exchange {
         final int ticket;
-        final Client client;
-        final Message message;
-        /** When the module has to have ended it, and when its client's time is over. */
-        final long deadline;
-        final long timeUp;
+        final ClientConnection client;
+        final ClientRequest request;
+        /** When the module must have completed the request. */
+        final long moduleDeadline;
+        /** When the client's timeout expires. */
+        final long clientDeadline;
         final List<Backends.Attempt> attempts = new ArrayList<>(2);
-        int out;
-        /** Some attempt that has ended may have run. */
+        int attemptsInFlight;
+        /** A completed attempt may have been executed by its backend. */
         boolean mayHaveRun;
-        boolean over;
-        ScheduledFuture<?> backstop;
+        boolean completed;
+        ScheduledFuture<?> backstopTimer;
 
-        Exchange(int ticket, Client client, Message message, long deadline, long timeUp) {
+        Exchange(int ticket, ClientConnection client, ClientRequest request, long moduleDeadline,
+                long clientDeadline) {
             this.ticket = ticket;
             this.client = client;
-            this.message = message;
-            this.deadline = deadline;
-            this.timeUp = timeUp;
+            this.request = request;
+            this.moduleDeadline = moduleDeadline;
+            this.clientDeadline = clientDeadline;
         }
     }
 
@@ -106,33 +110,33 @@
     private final ListFreshness freshness;
     private final Balancer balancer;
     private final Map<Integer, Exchange> exchanges = new HashMap<>();
-    private final Map<Client, Exchange> byClient = new IdentityHashMap<>();
+    private final Map<ClientConnection, Exchange> exchangesByClient = new IdentityHashMap<>();
     private final Queue<Event> events = new ArrayDeque<>();
-    private final CompletableFuture<Void> ended = new CompletableFuture<>();
-    private final boolean watches;
+    private final CompletableFuture<Void> drained = new CompletableFuture<>();
+    private final boolean watchesDiscovery;
     private boolean delivering;
-    private boolean listed;
-    /** Was the list good enough to send by when that was last asked? */
-    private boolean relied = true;
-    private int tickets;
-    /** When a request was last answered. */
-    private long answeredAt;
+    private boolean hasList;
+    /** Whether the list was reliable at the last check. */
+    private boolean listWasReliable = true;
+    private int lastTicket;
+    /** When a request last completed, or the listener was closed. */
+    private long lastCompletedAt;
     private ChannelFuture listening;
 
-    /** To be called on the loop. One that does not watch never calls discovery, whatever its module asks. */
+    /** Must be called on the loop. Without watchesDiscovery the module's subscriptions are ignored. */
     Proxy(Config config, EventLoop loop, Balancer.Factory factory, Backends.Transport transport,
-            boolean watches, Clock clock) {
-        this(config, loop, factory, transport, watches, clock,
+            boolean watchesDiscovery, Clock clock) {
+        this(config, loop, factory, transport, watchesDiscovery, clock,
                 new ListFreshness(config.drainGraceNs(), config.settings().askWithinNs()));
     }
 
-    /** The freshness says for how long the list is relied on; it is told what discovery does. */
+    /** {@code freshness} decides how long the list is reliable; Discovery updates it. */
     private Proxy(Config config, EventLoop loop, Balancer.Factory factory, Backends.Transport transport,
-            boolean watches, Clock clock, ListFreshness freshness) {
+            boolean watchesDiscovery, Clock clock, ListFreshness freshness) {
         this.freshness = freshness;
         this.config = config;
         this.clock = clock;
-        this.watches = watches;
+        this.watchesDiscovery = watchesDiscovery;
         this.loop = loop;
         Sockets sockets = new Sockets(config.sockets());
         this.frontend = new Frontend(config, clock, lag, sockets.clients, this);
@@ -143,36 +147,36 @@
     }
 
     /**
-     * Serves until the process is told to end. At each SIGHUP the configuration is read anew; one that cannot
-     * be read changes nothing.
+     * Serves until the process is terminated. SIGHUP reloads the configuration; an invalid configuration is
+     * ignored.
      */
     public static void run(Map<String, String> environment, Balancer.Factory factory)
             throws ConfigException, IOException {
-        // The default would end the process, so this comes first: an early signal waits for the proxy.
+        // First, since SIGHUP terminates the process by default; an early signal is handled after the start.
         CompletableFuture<Proxy> started = new CompletableFuture<>();
         Reload reload = new Reload(() -> Config.reread(environment),
-                config -> started.thenAccept(p -> p.loop.execute(() -> p.reload(config))));
+                config -> started.thenAccept(proxy -> proxy.loop.execute(() -> proxy.reload(config))));
         Runnable reloadOnceStarted = () -> started.thenRun(reload::run);
         if (Signals.ignored(Signals.SIGHUP)) {
-            Log.line("SIGHUP is ignored since the start: the configuration file is looked at every "
+            Log.line("SIGHUP is ignored in this process: the configuration file is checked every "
                     + ConfigFileWatch.LOOK_MS + " ms instead");
             ConfigFileWatch.start(environment.get("NODE_CONFIG"), reloadOnceStarted);
         } else if (!Signals.on("HUP", reloadOnceStarted)) {
-            Log.line("this runtime cannot hear SIGHUP: the configuration is read at the start only");
+            Log.line("this runtime cannot handle SIGHUP: the configuration is read at startup only");
         }
         LibraryLog.install();
         Log.line("starting");
         Config config = Config.read(environment);
         playRehearsal(config, factory);
         EventLoop loop = newLoop();
-        // Before the listener opens: from then on there may be something to answer.
+        // Registered before the listener opens: from then on requests may be open at shutdown.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             try {
                 started.thenCompose(Proxy::drain).join();
-                // A process that a signal ends reports the signal; this one has ended well.
+                // Otherwise the exit status would report the signal, although the shutdown was clean.
                 Runtime.getRuntime().halt(0);
             } catch (CompletionException e) {
-                Log.line("nothing to drain"); // it could not start, or its loop is gone
+                Log.line("nothing to drain"); // the start failed, or the event loop has terminated
             }
         }, "drain"));
         try {
@@ -182,10 +186,10 @@
             throw e;
         }
         loop.terminationFuture().awaitUninterruptibly();
-        throw new IOException("the event loop has ended"); // better gone than deaf
+        throw new IOException("the event loop has terminated"); // exit rather than stop accepting requests
     }
 
-    /** Plays the rehearsal, starts a proxy, and ends it. */
+    /** Runs the rehearsal, then starts a proxy and drains it. */
     public static void rehearse(Map<String, String> environment, Balancer.Factory factory)
             throws ConfigException, IOException {
         Config config = Config.read(environment);
@@ -195,13 +199,13 @@
     }
 
     private static void playRehearsal(Config config, Balancer.Factory factory) {
-        int served = Rehearsal.run(config, factory, REHEARSED, REHEARSAL_MS);
+        int served = Rehearsal.run(config, factory, REHEARSAL_REQUESTS, MAX_REHEARSAL_MS);
         Log.line("served " + served + " requests of a rehearsal");
     }
 
-    /** The one event loop of a process that serves. */
+    /** Creates the event loop of a serving process. */
     static EventLoop newLoop() {
-        return new MultiThreadIoEventLoopGroup(1, NonPollingIoHandler.over(NioIoHandler.newFactory())).next();
+        return new MultiThreadIoEventLoopGroup(1, NonPollingIoHandler.wrap(NioIoHandler.newFactory())).next();
     }
 
     static Proxy start(Config config, EventLoop loop, Balancer.Factory factory, Clock clock)
@@ -214,19 +218,19 @@
             ListFreshness freshness) throws IOException {
         try {
             return loop.submit(() -> {
-                Proxy p = new Proxy(config, loop, factory, Backends.tcp(loop), true, clock, freshness);
-                p.begin();
-                return p;
-            }).get().bound();
+                Proxy proxy = new Proxy(config, loop, factory, Backends.tcp(loop), true, clock, freshness);
+                proxy.startServing();
+                return proxy;
+            }).get().awaitListening();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted");
+            throw new IOException("interrupted while starting");
         } catch (ExecutionException e) {
             throw new IOException(e.getCause().getMessage(), e.getCause());
         }
     }
 
-    private Proxy bound() throws IOException {
+    private Proxy awaitListening() throws IOException {
         listening.awaitUninterruptibly();
         if (!listening.isSuccess()) {
             throw new IOException("cannot listen on " + config.listen() + ": "
@@ -235,7 +239,7 @@
         return this;
     }
 
-    private void begin() {
+    private void startServing() {
         Discovery.ListUpdate known = discovery.known();
         if (known != null) {
             discovery.startFrom(known.version());
@@ -246,19 +250,19 @@
         }
         loop.schedule(() -> {
             if (known != null && !known.list().isEmpty()) {
-                if (!listed) {
-                    Log.line("no list from discovery after " + LIST_WAIT_MS
-                            + " ms: serving on the known one, version " + known.version());
+                if (!hasList) {
+                    Log.line("no list from discovery after " + DISCOVERY_WAIT_MS
+                            + " ms: serving on the configured list, version " + known.version());
                 }
-                listed();
+                markReady();
             }
-        }, LIST_WAIT_MS, TimeUnit.MILLISECONDS);
+        }, DISCOVERY_WAIT_MS, TimeUnit.MILLISECONDS);
         listening = frontend.listen(loop);
     }
 
-    /** A connection of a client that another listener has accepted. */
-    void accept(Channel c) {
-        frontend.accept(c);
+    /** Adds a client connection that was accepted by another listener. */
+    void accept(Channel channel) {
+        frontend.accept(channel);
     }
 
     InetSocketAddress address() {
@@ -266,34 +270,35 @@
     }
 
     /**
-     * Takes over what may change while it serves: where discovery is. What the proxy knows and holds lives
-     * on. To be called on the loop.
+     * Applies the only setting that may change at run time, the address of discovery. The member list and
+     * open requests are kept. Must be called on the loop.
      */
     void reload(Config config) {
-        Log.line("a new configuration: discovery is at " + config.discovery());
+        Log.line("configuration reloaded: discovery is at " + config.discovery());
         discovery.move(config.discovery());
     }
 
-    /** Answers what has been taken and what still comes; the future is done once all is answered. */
+    /** Answers all open and still arriving requests; the future completes once every one is answered. */
     CompletableFuture<Void> drain() {
         loop.execute(() -> {
             Log.line("draining");
             frontend.drain();
             loop.schedule(() -> {
                 frontend.close();
-                answeredAt = clock.now();
-                whenEmpty();
-            }, ACCEPT_MS, TimeUnit.MILLISECONDS);
+                lastCompletedAt = clock.now();
+                completeDrainWhenEmpty();
+            }, DRAIN_ACCEPT_MS, TimeUnit.MILLISECONDS);
         });
-        return ended;
+        return drained;
     }
 
-    private void whenEmpty() {
-        if (byClient.isEmpty() && (frontend.open() == 0 || clock.now() - answeredAt >= DRAIN_SLACK_NS)) {
+    private void completeDrainWhenEmpty() {
+        if (exchangesByClient.isEmpty() && (frontend.openConnections() == 0
+                || clock.now() - lastCompletedAt >= DRAIN_SLACK_NS)) {
             Log.line("drained");
-            ended.complete(null);
+            drained.complete(null);
         } else {
-            loop.schedule(this::whenEmpty, DRAIN_LOOK_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::completeDrainWhenEmpty, DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -305,15 +310,15 @@
     // ---- events ----
 
     /**
-     * The module hears of everything in order, on a clock that stands still for what one wake-up brings, and
-     * never from inside one of its own actions.
+     * Queues an event for the module. Events are delivered in order, never from within an action of the
+     * module, and all events of one batch with the same time.
      */
     private void enqueue(int ticket, Event event) {
         events.add(now -> {
             try {
-                event.at(now);
+                event.dispatch(now);
             } catch (RuntimeException e) {
-                // A slip of the module costs one request, not all that the proxy holds.
+                // An exception in the module fails one request rather than all open requests.
                 StackTraceElement[] trace = e.getStackTrace();
                 Log.line("the module failed: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
                 fail(ticket);
@@ -328,7 +333,7 @@
     private void deliver() {
         long now = clock.now();
         for (Event e = events.poll(); e != null; e = events.poll()) {
-            e.at(now);
+            e.dispatch(now);
         }
         delivering = false;
     }
@@ -336,7 +341,7 @@
     @Override
     public void onListUpdate(Discovery.ListUpdate listUpdate) {
         apply(listUpdate);
-        listed();
+        markReady();
     }
 
     @Override
@@ -344,15 +349,15 @@
         apply(leaving);
     }
 
-    /** What backends there are is known well enough to serve. */
-    private void listed() {
-        if (!listed) {
-            listed = true;
+    /** Marks the proxy as ready: it has a member list to serve on. */
+    private void markReady() {
+        if (!hasList) {
+            hasList = true;
             Log.line("ready");
         }
     }
 
-    /** Takes in a list that no discovery has sent. */
+    /** Applies a member list that does not come from discovery. */
     void apply(JsonParser list) throws IOException {
         apply(discovery.read(list));
     }
@@ -368,135 +373,140 @@
     }
 
     @Override
-    public boolean ready() {
-        return listed;
+    public boolean isReady() {
+        return hasList;
     }
 
     @Override
-    public void taken(Client client, Message message, RequestTerms terms, long at) {
+    public void onClientRequest(ClientConnection client, ClientRequest request, RequestMetadata metadata,
+            long arrivedAt) {
         do {
-            tickets++;
-        } while (tickets == 0 || exchanges.containsKey(tickets));
+            lastTicket++;
+        } while (lastTicket == 0 || exchanges.containsKey(lastTicket));
         long now = clock.now();
-        long stall = Math.max(0, lag.longest(now) - LATE_NS);
-        long margin = (long) Math.min(terms.timeoutNs() * MARGIN_MOST, MARGIN_NS + stall);
-        long timeUp = at + terms.timeoutNs();
-        Exchange x = new Exchange(tickets, client, message, timeUp - margin, timeUp);
-        exchanges.put(x.ticket, x);
-        byClient.put(client, x);
-        x.backstop = loop.schedule(() -> overdue(x), Math.max(0, timeUp - margin / 2 - now),
-                TimeUnit.NANOSECONDS);
-        if (!listReliable()) {
-            refuse(x.ticket, config.settings().maxRetryAfterNs());
+        long excessStallNs = Math.max(0, lag.expectedStallNs(now) - LOST_AFTER_NS);
+        long marginNs =
+                (long) Math.min(metadata.timeoutNs() * MAX_MARGIN_FRACTION, MARGIN_NS + excessStallNs);
+        long clientDeadline = arrivedAt + metadata.timeoutNs();
+        Exchange exchange =
+                new Exchange(lastTicket, client, request, clientDeadline - marginNs, clientDeadline);
+        exchanges.put(exchange.ticket, exchange);
+        exchangesByClient.put(client, exchange);
+        exchange.backstopTimer = loop.schedule(() -> onOverdue(exchange),
+                Math.max(0, clientDeadline - marginNs / 2 - now), TimeUnit.NANOSECONDS);
+        if (!isListReliable()) {
+            refuse(exchange.ticket, config.settings().maxRetryAfterNs());
             return;
         }
-        enqueue(x.ticket, told -> {
-            long left = Math.max(0, x.deadline - told);
-            balancer.onRequest(told, new Request(x.ticket, terms.profile(), terms.tenant(), terms.key(), left,
-                    terms.hintNs(), terms.repeat()));
+        enqueue(exchange.ticket, deliveredAt -> {
+            long leftNs = Math.max(0, exchange.moduleDeadline - deliveredAt);
+            balancer.onRequest(deliveredAt, new Request(exchange.ticket, metadata.profile(),
+                    metadata.tenant(), metadata.key(), leftNs, metadata.hintNs(), metadata.isRetry()));
         });
     }
 
-    /** The module has not ended it in time: that must not leave the client with no answer. */
-    private void overdue(Exchange x) {
-        if (!x.over) {
-            Log.line("no answer in time, ticket " + x.ticket);
-            answer(x, 504, null, "no answer in time\n".getBytes(StandardCharsets.UTF_8));
-            withdraw(x);
+    /** Answers a request that the module has not completed in time. */
+    private void onOverdue(Exchange exchange) {
+        if (!exchange.completed) {
+            Log.line("no answer in time, ticket " + exchange.ticket);
+            respond(exchange, 504, null, "no answer in time\n".getBytes(StandardCharsets.UTF_8));
+            withdraw(exchange);
         }
     }
 
     @Override
-    public void gone(Client client) {
-        Exchange x = byClient.get(client);
-        if (x != null) {
-            finish(x);
-            withdraw(x);
+    public void onClientGone(ClientConnection client) {
+        Exchange exchange = exchangesByClient.get(client);
+        if (exchange != null) {
+            complete(exchange);
+            withdraw(exchange);
         }
     }
 
     /**
-     * May an attempt of it begin now? Not for a client that has left, also where that is found out here, and
-     * not on a list that may be too old.
+     * Whether an attempt of the request may start now. It may not if the client has disconnected, which is
+     * checked here, nor on a member list that may be outdated; the request is completed in either case.
      */
-    private boolean wanted(Exchange x) {
-        if (!x.over && !x.client.present()) {
-            gone(x.client);
+    private boolean mayStartAttempt(Exchange exchange) {
+        if (!exchange.completed && !exchange.client.checkConnected()) {
+            onClientGone(exchange.client);
         }
-        if (!x.over && !listReliable()) {
-            abandon(x);
+        if (!exchange.completed && !isListReliable()) {
+            abandon(exchange);
         }
-        return !x.over;
+        return !exchange.completed;
     }
 
-    /** Is the list known well enough to send by it? Each change of that leaves a line in the log. */
-    private boolean listReliable() {
-        boolean reliable = !watches || freshness.reliable(System.nanoTime());
-        if (reliable != relied) {
-            relied = reliable;
-            Log.line("list version " + discovery.version() + ", confirmed " + listAge()
-                    + (reliable ? ": relied on" : ": too old to send by, requests are refused"));
+    /** Whether the member list is recent enough to send attempts; logs each change. */
+    private boolean isListReliable() {
+        boolean reliable = !watchesDiscovery || freshness.reliable(System.nanoTime());
+        if (reliable != listWasReliable) {
+            listWasReliable = reliable;
+            Log.line("list version " + discovery.version() + ", confirmed " + describeListAge()
+                    + (reliable ? ": reliable" : ": too old, refusing requests"));
         }
         return reliable;
     }
 
-    /** No attempt of it may begin any more, and the client need not wait for that. */
-    private void abandon(Exchange x) {
-        if (x.mayHaveRun || x.out > 1) {
-            fail(x.ticket);
+    /** Answers a request for which no further attempt may start. */
+    private void abandon(Exchange exchange) {
+        if (exchange.mayHaveRun || exchange.attemptsInFlight > 1) {
+            fail(exchange.ticket);
         } else {
-            refuse(x.ticket, config.settings().maxRetryAfterNs());
+            refuse(exchange.ticket, config.settings().maxRetryAfterNs());
         }
-        withdraw(x);
+        withdraw(exchange);
     }
 
-    private void withdraw(Exchange x) {
-        // Nothing may go out for it any more, whatever the module does.
-        for (int i = 0; i < x.attempts.size(); i++) {
-            cancel(x.ticket, i);
+    private void withdraw(Exchange exchange) {
+        // Cancelled here rather than by the module, so that nothing more is sent in any case.
+        for (int i = 0; i < exchange.attempts.size(); i++) {
+            cancel(exchange.ticket, i);
         }
-        enqueue(x.ticket, now -> {
-            balancer.onWithdrawn(now, x.ticket);
-            forget(x);
+        enqueue(exchange.ticket, now -> {
+            balancer.onWithdrawn(now, exchange.ticket);
+            removeIfFinished(exchange);
         });
     }
 
-    private void answer(Exchange x, int status, HttpHeaders headers, byte[] body) {
-        long late = clock.now() - x.timeUp;
-        if (late > 0) {
-            Log.line("answered " + TimeUnit.NANOSECONDS.toMillis(late) + " ms late, ticket " + x.ticket);
+    private void respond(Exchange exchange, int status, HttpHeaders headers, byte[] body) {
+        long lateNs = clock.now() - exchange.clientDeadline;
+        if (lateNs > 0) {
+            Log.line("answered " + TimeUnit.NANOSECONDS.toMillis(lateNs) + " ms late, ticket "
+                    + exchange.ticket);
         }
-        finish(x);
-        x.client.answer(status, headers, body);
+        complete(exchange);
+        exchange.client.respond(status, headers, body);
     }
 
-    private void finish(Exchange x) {
-        x.over = true;
-        answeredAt = clock.now();
-        x.backstop.cancel(false);
-        byClient.remove(x.client);
+    private void complete(Exchange exchange) {
+        exchange.completed = true;
+        lastCompletedAt = clock.now();
+        exchange.backstopTimer.cancel(false);
+        exchangesByClient.remove(exchange.client);
     }
 
-    private void forget(Exchange x) {
-        if (x.over && x.out == 0) {
-            exchanges.remove(x.ticket);
+    private void removeIfFinished(Exchange exchange) {
+        if (exchange.completed && exchange.attemptsInFlight == 0) {
+            exchanges.remove(exchange.ticket);
         }
     }
 
-    private void ended(Exchange x, int number, int server, long startedAt, Status status, Report report,
-            Backends.Answer answer) {
-        if (status == Status.OK && !x.over) {
-            answer(x, 200, answer.head().headers(), answer.body());
-        } else if (answer != null && !x.over) {
-            answer(x, answer.head().status().code(), null,
+    private void onAttemptCompleted(Exchange exchange, int attemptNumber, int server, long startedAt,
+            Status status, Report report, Backends.Response response) {
+        if (status == Status.OK && !exchange.completed) {
+            respond(exchange, 200, response.head().headers(), response.body());
+        } else if (response != null && !exchange.completed) {
+            respond(exchange, response.head().status().code(), null,
                     "the backend cannot use this request\n".getBytes(StandardCharsets.UTF_8));
         }
-        x.mayHaveRun |= !status.neverRan || status == Status.FULL && config.settings().fullIsNoProof();
-        long elapsed = clock.now() - startedAt;
-        enqueue(x.ticket, now -> {
-            x.out--;
-            balancer.onOutcome(now, new Outcome(x.ticket, number, server, status, elapsed, x.over, report));
-            forget(x);
+        exchange.mayHaveRun |= !status.neverRan || status == Status.FULL && config.settings().fullIsNoProof();
+        long elapsedNs = clock.now() - startedAt;
+        enqueue(exchange.ticket, now -> {
+            exchange.attemptsInFlight--;
+            balancer.onOutcome(now, new Outcome(exchange.ticket, attemptNumber, server, status, elapsedNs,
+                    exchange.completed, report));
+            removeIfFinished(exchange);
         });
     }
 
@@ -504,68 +514,71 @@
 
     @Override
     public void send(int ticket, int server, long timeoutNs) {
-        Exchange x = exchanges.get(ticket);
-        if (x == null) {
-            Log.line("an attempt for ticket " + ticket + ", which is over");
+        Exchange exchange = exchanges.get(ticket);
+        if (exchange == null) {
+            Log.line("dropped an attempt for ticket " + ticket + ", which is no longer open");
             enqueue(0, now -> balancer.onOutcome(now,
                     new Outcome(ticket, 0, server, Status.MOOT, 0, true, null)));
             return;
         }
         long now = clock.now();
-        long left = x.deadline - now;
-        int number = x.attempts.size();
-        x.out++;
-        if (!wanted(x) || left <= 0 || number >= config.settings().maxAttempts()) {
-            x.attempts.add(null);
-            ended(x, number, server, now, Status.MOOT, null, null);
+        long leftNs = exchange.moduleDeadline - now;
+        int attemptNumber = exchange.attempts.size();
+        exchange.attemptsInFlight++;
+        if (!mayStartAttempt(exchange) || leftNs <= 0 || attemptNumber >= config.settings().maxAttempts()) {
+            exchange.attempts.add(null);
+            onAttemptCompleted(exchange, attemptNumber, server, now, Status.MOOT, null, null);
             return;
         }
         if (LOG_ATTEMPTS) {
-            logAttempt(x, number, server);
+            logAttempt(exchange, attemptNumber, server);
         }
-        x.attempts.add(backends.send(server, x.message, timeoutNs == 0 ? left : Math.min(timeoutNs, left),
-                () -> wanted(x),
-                (a, status, report, answer) -> ended(x, number, server, now, status, report, answer)));
+        exchange.attempts.add(backends.send(server, exchange.request,
+                timeoutNs == 0 ? leftNs : Math.min(timeoutNs, leftNs), () -> mayStartAttempt(exchange),
+                (attempt, status, report, response) -> onAttemptCompleted(exchange, attemptNumber, server,
+                        now, status, report, response)));
     }
 
-    private void logAttempt(Exchange x, int number, int server) {
-        Log.line("attempt " + number + " of request " + x.message.headers().get("Request-Id") + " to server "
+    private void logAttempt(Exchange exchange, int attemptNumber, int server) {
+        Log.line("attempt " + attemptNumber + " of request "
+                + exchange.request.headers().get("Request-Id") + " to server "
                 + discovery.name(server) + ", list version " + discovery.version() + ", confirmed "
-                + listAge());
+                + describeListAge());
     }
 
-    private String listAge() {
+    private String describeListAge() {
         long ageNs = discovery.listAgeNs();
         return ageNs < 0 ? "never" : TimeUnit.NANOSECONDS.toMillis(ageNs) + " ms ago";
     }
 
     @Override
     public void refuse(int ticket, long retryInNs) {
-        Exchange x = exchanges.get(ticket);
-        if (x != null && !x.over) {
+        Exchange exchange = exchanges.get(ticket);
+        if (exchange != null && !exchange.completed) {
             HttpHeaders headers = new DefaultHttpHeaders();
             if (retryInNs > 0) {
-                headers.set("Retry-After", Message.seconds(retryInNs));
+                headers.set("Retry-After", ClientRequest.formatSeconds(retryInNs));
             }
-            answer(x, 503, headers, "refused, try again\n".getBytes(StandardCharsets.UTF_8));
-            forget(x);
+            respond(exchange, 503, headers, "refused, try again\n".getBytes(StandardCharsets.UTF_8));
+            removeIfFinished(exchange);
         }
     }
 
     @Override
     public void fail(int ticket) {
-        Exchange x = exchanges.get(ticket);
-        if (x != null && !x.over) {
-            answer(x, 502, null, "failed\n".getBytes(StandardCharsets.UTF_8));
-            forget(x);
+        Exchange exchange = exchanges.get(ticket);
+        if (exchange != null && !exchange.completed) {
+            respond(exchange, 502, null, "failed\n".getBytes(StandardCharsets.UTF_8));
+            removeIfFinished(exchange);
         }
     }
 
     @Override
     public void cancel(int ticket, int attempt) {
-        Exchange x = exchanges.get(ticket);
-        if (x != null && attempt < x.attempts.size() && x.attempts.get(attempt) != null) {
-            x.attempts.get(attempt).cancel();
+        Exchange exchange = exchanges.get(ticket);
+        if (exchange != null && attempt < exchange.attempts.size()
+                && exchange.attempts.get(attempt) != null) {
+            exchange.attempts.get(attempt).cancel();
         }
     }
 
@@ -582,7 +595,7 @@
 
     @Override
     public void subscribe(boolean on) {
-        if (watches) {
+        if (watchesDiscovery) {
             discovery.watch(on);
         }
     }
@@ -593,12 +606,12 @@
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
-        throw new UnsupportedOperationException("this proxy talks to no peers");
+    public void tell(int peer, byte[] request) {
+        throw new UnsupportedOperationException("this proxy does not communicate with peers");
     }
 
     @Override
     public void reload() {
-        throw new UnsupportedOperationException("this proxy watches, it does not ask once");
+        throw new UnsupportedOperationException("this proxy watches discovery and sends no single queries");
     }
 }
--- a/src/main/java/dewstage/proxy/RequestDecoder.java
+++ b/src/main/java/dewstage/proxy/RequestDecoder.java
@@ -8,48 +8,48 @@
 import java.util.List;
 
 /**
- * Decodes requests, and nothing after one that cannot be read: where that ends, and what hides behind it,
- * only its sender knows. The library itself turns down a request with both Content-Length and
- * Transfer-Encoding.
+ * Decodes requests, and nothing after a malformed one: where that ends, and whether a smuggled request
+ * follows, is unknown. Netty itself rejects a request with both Content-Length and Transfer-Encoding.
  */
 final class RequestDecoder extends HttpRequestDecoder {
-    private static final int LONGEST_LINE = 4096, LONGEST_HEAD = 8 << 10;
+    private static final int MAX_LINE_BYTES = 4096;
+    private static final int MAX_HEAD_BYTES = 8 << 10;
 
-    private boolean stopped;
-    private boolean begun;
+    private boolean discarding;
+    private boolean inRequest;
 
     RequestDecoder() {
-        super(new HttpDecoderConfig().setMaxInitialLineLength(LONGEST_LINE).setMaxHeaderSize(LONGEST_HEAD));
+        super(new HttpDecoderConfig().setMaxInitialLineLength(MAX_LINE_BYTES)
+                .setMaxHeaderSize(MAX_HEAD_BYTES));
     }
 
-    /** Drops what still comes. */
-    void stop() {
-        stopped = true;
+    /** Discards all further input. */
+    void discardInput() {
+        discarding = true;
     }
 
-    /** Has a request begun that is not whole yet? */
-    boolean begun() {
-        return begun;
+    /** Whether a request has begun and is not complete. */
+    boolean inRequest() {
+        return inRequest;
     }
 
-    /** The request that had begun is whole. */
-    void whole() {
-        begun = false;
+    void requestComplete() {
+        inRequest = false;
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
-        if (stopped) {
+        if (discarding) {
             in.skipBytes(in.readableBytes());
         } else {
-            begun |= in.getByte(in.readerIndex()) > ' '; // an empty line ahead of a request is none yet
+            inRequest |= in.getByte(in.readerIndex()) > ' '; // empty lines do not start a request
             super.decode(ctx, in, out);
         }
     }
 
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-        AnswerDecoder.checkColon(line, start + length);
+        ResponseDecoder.checkColon(line, start + length);
         return super.splitHeaderName(line, start, length);
     }
 }
--- a/src/main/java/dewstage/proxy/RequestIds.java
+++ b/src/main/java/dewstage/proxy/RequestIds.java
@@ -4,29 +4,28 @@
 import java.util.Set;
 
 /**
- * The ids of requests that are open, and of those that were until lately. Every request has an id of its
- * own, a client's retry too: one that comes again is another client's, and would be a second copy at the
- * backends.
+ * The ids of open and of recently closed requests. Every request has a unique id, including a client's
+ * retries: a repeated id belongs to another client and would create a duplicate at the backends.
  */
 final class RequestIds {
     private final Set<String> open = new HashSet<>();
-    private Set<String> recent = new HashSet<>();
-    private Set<String> older = new HashSet<>();
+    private Set<String> recentlyClosed = new HashSet<>();
+    private Set<String> closedEarlier = new HashSet<>();
 
-    /** False if the id is in use or was lately. */
-    boolean open(String id) {
-        return !recent.contains(id) && !older.contains(id) && open.add(id);
+    /** Marks the id as open; returns false if it is open already or was closed recently. */
+    boolean tryOpen(String id) {
+        return !recentlyClosed.contains(id) && !closedEarlier.contains(id) && open.add(id);
     }
 
     void close(String id) {
         if (open.remove(id)) {
-            recent.add(id);
+            recentlyClosed.add(id);
         }
     }
 
-    /** Forgets those that were closed before the last call; called now and then, it keeps them bounded. */
-    void age() {
-        older = recent;
-        recent = new HashSet<>();
+    /** Forgets the ids closed before the previous call. Called periodically, to bound the memory used. */
+    void expireClosed() {
+        closedEarlier = recentlyClosed;
+        recentlyClosed = new HashSet<>();
     }
 }
--- a/src/main/java/dewstage/proxy/Sockets.java
+++ b/src/main/java/dewstage/proxy/Sockets.java
@@ -5,36 +5,37 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The descriptors of the process, a share for each side. Guards against running into the process's limit,
- * where accepting, connecting and discovery would all fail at once, and against clients that connect by
- * hundreds: they must not take the connections to the backends.
+ * Divides the descriptors of the process between clients and backends. At the process's limit accepting,
+ * connecting and discovery would all fail at once, and hundreds of client connections must not use up the
+ * descriptors for backends.
  */
 final class Sockets {
     /**
-     * For the runtime's files, the selector, the listener and discovery, 41 at the start, and for what is
-     * closed but goes only with the loop's next look at the sockets: up to 16 in a burst of clients. Under so
-     * few that less would be left for connections, what is over that, and a quarter at the least.
+     * Descriptors that are not used for connections: 41 at the start, for the runtime's files, the selector,
+     * the listener and discovery, and up to 16 in a burst of clients, for closed sockets that are released
+     * only at the loop's next select. With a limit under twice this number, the excess over it is reserved
+     * instead, but at least a quarter of the limit.
      */
-    private static final int RESERVE = 64;
+    private static final int RESERVED_DESCRIPTORS = 64;
 
-    /** A side's share. */
+    /** The descriptors of one side. */
     static final class Share {
-        private final int most;
+        private final int limit;
         private int open;
-        private BooleanSupplier spare = () -> false;
+        private BooleanSupplier reclaim = () -> false;
 
-        private Share(int most) {
-            this.most = Math.max(1, most);
+        private Share(int limit) {
+            this.limit = Math.max(1, limit);
         }
 
-        /** Who closes an idle connection when all are taken; true if there was one. */
-        void whenFull(BooleanSupplier closeOneIdle) {
-            this.spare = closeOneIdle;
+        /** Sets the action that closes an idle connection of this side; it returns false if there is none. */
+        void onExhausted(BooleanSupplier closeOneIdle) {
+            this.reclaim = closeOneIdle;
         }
 
-        /** Takes a descriptor, of an idle connection if need be; false if none can be had. */
-        boolean take() {
-            if (open >= most && !spare.getAsBoolean()) {
+        /** Acquires a descriptor, closing an idle connection if necessary; returns false if none is free. */
+        boolean tryAcquire() {
+            if (open >= limit && !reclaim.getAsBoolean()) {
                 return false;
             }
             open++;
@@ -45,29 +46,27 @@
             open--;
         }
 
-        int most() {
-            return most;
+        int limit() {
+            return limit;
         }
     }
 
-    /**
-     * Usual clients need a third of all at most; the rest of the larger share is for those that say
-     * nothing.
-     */
+    /** Active clients need at most a third of all descriptors; the rest is for clients that send nothing. */
     final Share clients;
     final Share backends;
 
     /**
-     * True of a connect that got no descriptor, whatever the shares say: it has no channel, so nothing that
-     * waits for the channel's end ever hears of it.
+     * Whether a connect failed for lack of a descriptor, which may happen within the shares as well. Its
+     * channel does not exist, so listeners of the channel's close future are never notified.
      */
     static boolean hasNoDescriptor(ChannelFuture connect) {
         return connect.cause() instanceof ChannelException;
     }
 
     Sockets(int limit) {
-        int rest = limit - Math.min(RESERVE, Math.max(limit / 4, limit - RESERVE));
-        this.clients = new Share(rest * 3 / 5);
-        this.backends = new Share(rest - rest * 3 / 5);
+        int available = limit
+                - Math.min(RESERVED_DESCRIPTORS, Math.max(limit / 4, limit - RESERVED_DESCRIPTORS));
+        this.clients = new Share(available * 3 / 5);
+        this.backends = new Share(available - available * 3 / 5);
     }
 }
--- a/src/main/java/dewstage/proxy/TooLargeException.java
+++ b/src/main/java/dewstage/proxy/TooLargeException.java
@@ -1,6 +1,6 @@
 package dewstage.proxy;
 
-/** A list that would take more memory than there is for it. */
+/** Thrown when a member list exceeds the memory available for it. */
 final class TooLargeException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
--- a/src/test/java/dewstage/proxy/BackendsTest.java
+++ b/src/test/java/dewstage/proxy/BackendsTest.java
@@ -54,7 +54,7 @@
             assertTrue(o.over());
             assertEquals(7, o.report().inflight());
             assertEquals(0.61, o.report().util());
-            setup.clock.advance(Backends.REST_NS);
+            setup.clock.advance(Backends.REUSE_DELAY_NS);
             sent(client);
             wire.read(); // on the same connection
             wire.write(OK);
@@ -227,7 +227,7 @@
             assertTrue(one.read().endsWith("body"));
             second.write(OK);
             assertTrue(two.read().endsWith("body"));
-            setup.clock.advance(Backends.REST_NS);
+            setup.clock.advance(Backends.REUSE_DELAY_NS);
             sent(one);
             assertTrue(first.read().startsWith("GET "));
         }
@@ -357,7 +357,8 @@
     /** A served attempt at each of some backends, in turn; returns their connections, which are idle then. */
     private List<Peer.Wire> served(Backends backends, int... servers) throws Exception {
         List<Peer.Wire> wires = new ArrayList<>();
-        Message get = new Message(HttpMethod.GET, "/look/1", new DefaultHttpHeaders(), new byte[0]);
+        ClientRequest get =
+                new ClientRequest(HttpMethod.GET, "/look/1", new DefaultHttpHeaders(), new byte[0]);
         for (int s : servers) {
             CompletableFuture<Status> end = new CompletableFuture<>();
             setup.runOnLoop(() -> backends.send(s, get, 20_000_000_000L, () -> true,
@@ -382,7 +383,7 @@
     }
 
     private int inUse(Backends backends) throws Exception {
-        return setup.loop.submit(backends::inUse).get(20, TimeUnit.SECONDS);
+        return setup.loop.submit(backends::trackedCount).get(20, TimeUnit.SECONDS);
     }
 
     /** The list may be long: what is kept, and walked, is what is in use. */
@@ -409,7 +410,7 @@
         Backends backends = backends(6); // two of them for backends
         setup.clock.freeze();
         List<Peer.Wire> wires = new ArrayList<>(served(backends, 9, 8));
-        setup.clock.advance(Backends.REST_NS);
+        setup.clock.advance(Backends.REUSE_DELAY_NS);
         wires.addAll(served(backends, 7));
         assertTrue(wires.get(0).awaitClose());
         setup.runOnLoop(() -> backends.closeIdle(7));
@@ -434,14 +435,14 @@
 
     @Test
     void aReportThatMakesNoSenseIsNone() {
-        assertNull(Backends.report(null));
-        assertNull(Backends.report("inflight=x"));
-        assertNull(Backends.report("util"));
-        assertNull(Backends.report("util=-1"));
-        assertNull(Backends.report("util=NaN"));
-        assertNull(Backends.report("util=1e300"));
-        assertNull(Backends.report("inflight=1e12,util=0.5"));
-        assertNull(Backends.report("=,="));
-        assertEquals(0.5, Backends.report("new=1, util=0.5").util());
+        assertNull(Backends.parseReport(null));
+        assertNull(Backends.parseReport("inflight=x"));
+        assertNull(Backends.parseReport("util"));
+        assertNull(Backends.parseReport("util=-1"));
+        assertNull(Backends.parseReport("util=NaN"));
+        assertNull(Backends.parseReport("util=1e300"));
+        assertNull(Backends.parseReport("inflight=1e12,util=0.5"));
+        assertNull(Backends.parseReport("=,="));
+        assertEquals(0.5, Backends.parseReport("new=1, util=0.5").util());
     }
 }
--- a/src/test/java/dewstage/proxy/CrowdingTest.java
+++ b/src/test/java/dewstage/proxy/ClientEvictionTest.java
@@ -16,7 +16,7 @@
 
 /** Clients that are turned away before they have said anything must leave a trace. */
 @Timeout(60)
-class CrowdingTest {
+class ClientEvictionTest {
     @Test
     void connectionsClosedToMakeRoomAreCountedInTheLog() throws Exception {
         PrintStream before = System.err;
@@ -36,7 +36,8 @@
                 w.close();
             }
         }
-        assertTrue(log.toString().contains("of 9 accepted 0 closed at once; closed to make room: 2 with"),
+        assertTrue(
+                log.toString().contains("of 9 accepted, 0 closed immediately; evicted: 2 without a request"),
                 log.toString());
     }
 
--- a/src/test/java/dewstage/proxy/FrontendTest.java
+++ b/src/test/java/dewstage/proxy/FrontendTest.java
@@ -116,11 +116,11 @@
     void someAtOnceAreAnsweredOneAfterTheOther() throws Exception {
         try (Peer.Wire client = setup.client()) {
             StringBuilder some = new StringBuilder();
-            for (int i = 0; i < Client.MOST_PIPELINED; i++) {
+            for (int i = 0; i < ClientConnection.MAX_PIPELINED_REQUESTS; i++) {
                 some.append(Setup.get());
             }
             client.write(some.toString());
-            for (int i = 0; i < Client.MOST_PIPELINED; i++) {
+            for (int i = 0; i < ClientConnection.MAX_PIPELINED_REQUESTS; i++) {
                 Request r = setup.awaitRequest();
                 setup.runOnLoop(() -> setup.actions.refuse(r.ticket(), 0));
                 assertTrue(client.read().startsWith("HTTP/1.1 503 "));
@@ -131,7 +131,7 @@
     @Test
     void tooManyAtOnceAreTurnedAwayUnsent() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            client.write(Setup.get().repeat(Client.MOST_PIPELINED + 1));
+            client.write(Setup.get().repeat(ClientConnection.MAX_PIPELINED_REQUESTS + 1));
             assertTrue(client.read().startsWith("HTTP/1.1 429 "));
             assertTrue(client.awaitClose());
             assertTrue(setup.events.stream().noneMatch(t -> t.kind().equals("request")));
@@ -161,7 +161,7 @@
                     + "Content-Length: 3\r\n\r\nabc");
             Request r = setup.awaitRequest();
             assertEquals(1, r.profile());
-            assertEquals(RequestTerms.key("sid=7f3a9c21e0b4d655"), r.key());
+            assertEquals(RequestMetadata.keyFromCookies("sid=7f3a9c21e0b4d655"), r.key());
             assertNotEquals(0, r.key());
             assertEquals(300_000, r.hintNs());
             assertTrue(r.repeat());
@@ -391,7 +391,8 @@
 
     /** Waits until the loop has beaten at the time that the test's clock shows. */
     private void awaitBeat() throws Exception {
-        setup.loop.schedule(() -> { }, 2 * LoopLag.BEAT_NS, TimeUnit.NANOSECONDS).get(20, TimeUnit.SECONDS);
+        setup.loop.schedule(() -> { }, 2 * LoopLag.HEARTBEAT_INTERVAL_NS, TimeUnit.NANOSECONDS)
+                .get(20, TimeUnit.SECONDS);
     }
 
     /** An answer that is awaited up to the last moment is lost if the next stall begins before that. */
@@ -404,7 +405,7 @@
             awaitBeat();
             setup.clock.advance((long) (stallS * 1e9));
             awaitBeat();
-            setup.clock.advance(LoopLag.BEAT_NS); // what comes now has come behind the stall
+            setup.clock.advance(LoopLag.HEARTBEAT_INTERVAL_NS); // what comes now has come behind the stall
 
             client.write(Setup.get("Request-Timeout: " + timeoutS + "\r\n"));
 
--- a/src/test/java/dewstage/proxy/GoneClientTest.java
+++ b/src/test/java/dewstage/proxy/GoneClientTest.java
@@ -97,7 +97,7 @@
     @EnumSource
     void whatWaitedInTheModuleIsNotSentOnceItsClientHasLeft(Leave how) throws Exception {
         Peer.Wire idle = idleConnection();
-        setup.clock.advance(Backends.REST_NS);
+        setup.clock.advance(Backends.REUSE_DELAY_NS);
         try (Peer.Wire client = setup.client().write(Setup.get())) {
             Request r = setup.awaitRequest();
             setup.runOnLoop(() -> {
@@ -114,7 +114,7 @@
     @EnumSource
     void aRequestWhoseClientHasLeftBehindItIsNotSent(Leave how) throws Exception {
         Peer.Wire idle = idleConnection();
-        setup.clock.advance(Backends.REST_NS);
+        setup.clock.advance(Backends.REUSE_DELAY_NS);
         int next = 2; // tickets count from one
         setup.onRequest = () -> setup.actions.send(next, server, 0);
         try (Peer.Wire client = setup.client()) {
@@ -136,7 +136,7 @@
     @EnumSource
     void aFurtherAttemptIsNotSentOnceItsClientHasLeft(Leave how) throws Exception {
         Peer.Wire idle = idleConnection();
-        setup.clock.advance(Backends.REST_NS);
+        setup.clock.advance(Backends.REUSE_DELAY_NS);
         try (Peer.Wire client = setup.client().write(Setup.get()); Peer.Wire other = setup.client()) {
             Request r = setup.awaitRequest();
             other.write(Setup.get());
@@ -150,7 +150,7 @@
             idle.read();
             idle.write(OK);
             assertTrue(other.read().endsWith("body"));
-            setup.clock.advance(Backends.REST_NS);
+            setup.clock.advance(Backends.REUSE_DELAY_NS);
             first.reset();
             while (setup.awaitOutcome().status() != Status.RESET) {
                 continue; // that of the other
@@ -172,7 +172,7 @@
         Peer.Wire idle = idleConnection();
         try (Peer.Wire client = setup.client().write(Setup.get())) {
             Request r = setup.awaitRequest();
-            long restNs = Backends.REST_NS;
+            long restNs = Backends.REUSE_DELAY_NS;
             setup.runOnLoop(() -> {
                 setup.actions.send(r.ticket(), server, 0);
                 how.now(client);
--- a/src/test/java/dewstage/proxy/LoopLagTest.java
+++ b/src/test/java/dewstage/proxy/LoopLagTest.java
@@ -13,52 +13,52 @@
     @Test
     void whatIsReadInTimeCountsFromItsReading() {
         assertEquals(START, lag.earliestArrival(START)); // no beat yet: nothing is known of a stall
-        lag.beat(START);
-        long late = START + 2 * LoopLag.BEAT_NS;
+        lag.heartbeat(START);
+        long late = START + 2 * LoopLag.HEARTBEAT_INTERVAL_NS;
         assertEquals(late, lag.earliestArrival(late));
-        lag.beat(late);
+        lag.heartbeat(late);
         assertEquals(late + 1, lag.earliestArrival(late + 1));
     }
 
     @Test
     void whatIsReadAfterAStallCountsFromItsStart() {
-        lag.beat(START);
+        lag.heartbeat(START);
         assertEquals(START, lag.earliestArrival(START + STALL)); // read before the beat that is due
-        lag.beat(START + STALL);
+        lag.heartbeat(START + STALL);
         // accepted first, read after
-        assertEquals(START, lag.earliestArrival(START + STALL + LoopLag.BEAT_NS - 1));
-        long over = START + STALL + LoopLag.BEAT_NS;
+        assertEquals(START, lag.earliestArrival(START + STALL + LoopLag.HEARTBEAT_INTERVAL_NS - 1));
+        long over = START + STALL + LoopLag.HEARTBEAT_INTERVAL_NS;
         assertEquals(over, lag.earliestArrival(over));
     }
 
     @Test
     void aStallBehindAnotherCountsFromItsOwnStart() {
-        lag.beat(START);
-        lag.beat(START + STALL);
+        lag.heartbeat(START);
+        lag.heartbeat(START + STALL);
         assertEquals(START + STALL, lag.earliestArrival(START + 2 * STALL));
     }
 
     @Test
     void withNoStallThereIsNoneToReckonWith() {
-        lag.beat(START);
-        lag.beat(START + LoopLag.BEAT_NS);
-        assertEquals(0, lag.longest(START + 2 * LoopLag.BEAT_NS));
+        lag.heartbeat(START);
+        lag.heartbeat(START + LoopLag.HEARTBEAT_INTERVAL_NS);
+        assertEquals(0, lag.expectedStallNs(START + 2 * LoopLag.HEARTBEAT_INTERVAL_NS));
     }
 
     @Test
     void theLongestStallIsReckonedWithAndForgottenOverTime() {
-        lag.beat(START);
+        lag.heartbeat(START);
         long end = START + STALL;
-        assertEquals(STALL, lag.longest(end)); // also before the beat that is due
-        lag.beat(end);
-        assertEquals(STALL, lag.longest(end));
+        assertEquals(STALL, lag.expectedStallNs(end)); // also before the beat that is due
+        lag.heartbeat(end);
+        assertEquals(STALL, lag.expectedStallNs(end));
         long next = end + STALL / 2;
-        lag.beat(next); // a shorter one does not hide the longer one
-        assertTrue(lag.longest(next) > 0.9 * STALL, lag.longest(next) + " ns");
+        lag.heartbeat(next); // a shorter one does not hide the longer one
+        assertTrue(lag.expectedStallNs(next) > 0.9 * STALL, lag.expectedStallNs(next) + " ns");
 
-        for (long beat = next; beat <= end + LoopLag.MEMORY_NS; beat += LoopLag.BEAT_NS) {
-            lag.beat(beat);
+        for (long beat = next; beat <= end + LoopLag.STALL_DECAY_NS; beat += LoopLag.HEARTBEAT_INTERVAL_NS) {
+            lag.heartbeat(beat);
         }
-        assertEquals(STALL / Math.E, lag.longest(end + LoopLag.MEMORY_NS), 0.05 * STALL);
+        assertEquals(STALL / Math.E, lag.expectedStallNs(end + LoopLag.STALL_DECAY_NS), 0.05 * STALL);
     }
 }
--- a/src/test/java/dewstage/proxy/NonPollingIoHandlerTest.java
+++ b/src/test/java/dewstage/proxy/NonPollingIoHandlerTest.java
@@ -77,7 +77,7 @@
         "49400000, 50000000", "0, 0", "-5, -5", "9223372036854775807, 9223372036854775807"})
     void theDelayUntilATimerIsRoundedUpToWholeMilliseconds(long due, long delay) {
         AskingHandler asking = new AskingHandler();
-        IoHandler handler = NonPollingIoHandler.over(executor -> asking).newHandler(null);
+        IoHandler handler = NonPollingIoHandler.wrap(executor -> asking).newHandler(null);
 
         handler.run(new DueIn(due));
 
@@ -94,7 +94,7 @@
                 return usual.calculateStrategy(ready, hasTasks);
             };
         });
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NonPollingIoHandler.over(counting));
+        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NonPollingIoHandler.wrap(counting));
         try {
             EventLoop loop = group.next();
             CountDownLatch fired = new CountDownLatch(TIMERS);
--- a/src/test/java/dewstage/proxy/ReadyInTimeTest.java
+++ b/src/test/java/dewstage/proxy/ReadyInTimeTest.java
@@ -45,12 +45,12 @@
                 loop.run(TimeUnit.MILLISECONDS.toNanos(1));
             }
             Proxy proxy = started.get();
-            ticker.advanceMillis(Proxy.LIST_WAIT_MS - 1);
+            ticker.advanceMillis(Proxy.DISCOVERY_WAIT_MS - 1);
             loop.runNow();
-            assertFalse(proxy.ready());
+            assertFalse(proxy.isReady());
             ticker.advanceMillis(1);
             loop.runNow();
-            assertTrue(proxy.ready());
+            assertTrue(proxy.isReady());
         } finally {
             loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
             while (!loop.isTerminated()) {
@@ -58,7 +58,7 @@
                 loop.runNow();
             }
         }
-        long waitsMs = Proxy.REHEARSAL_MS + Proxy.LIST_WAIT_MS;
+        long waitsMs = Proxy.MAX_REHEARSAL_MS + Proxy.DISCOVERY_WAIT_MS;
         assertTrue(waitsMs <= READY_MS / 2, "own waits of " + waitsMs + " ms");
     }
 
