--- a/src/test/java/dewstage/proxy/BackendsTest.java
+++ b/src/test/java/dewstage/proxy/BackendsTest.java
@@ -25,39 +25,39 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What comes back from a backend, and what the module is told of it. */
+/** How responses and failures of backends are handled, and what outcome the module receives. */
 class BackendsTest extends LoopbackTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
 
-    /** A request on its way: the module has sent it to the backend. */
-    private Request sent(Peer.Wire client) throws Exception {
+    /** Sends a client request that the module sends on to the backend. */
+    private Request sendRequest(Peer.Wire client) throws Exception {
         client.write(Setup.get());
-        Request r = setup.awaitRequest();
-        setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
-        return r;
+        Request request = setup.awaitRequest();
+        setup.runOnLoop(() -> setup.actions.send(request.ticket(), server, 0));
+        return request;
     }
 
     @Test
-    void anAnswerGoesBackUnchangedAndTheConnectionIsUsedAgain() throws Exception {
+    void responseIsForwardedUnchangedAndItsConnectionIsReused() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            Request r = sent(client);
-            Peer.Wire wire = backend.accept();
-            String request = wire.read();
-            assertTrue(request.startsWith("GET /look/1?x=2 HTTP/1.1\r\n"), request);
-            assertTrue(request.matches("(?s).*Request-Id: r\\d+\r\n.*"), request);
-            assertTrue(request.matches("(?s).*Request-Timeout: 29\\.\\d+\r\n.*"), request);
-            wire.write(OK.replace("Content", "Server-Load: inflight=7,util=0.61\r\nContent"));
+            Request request = sendRequest(client);
+            Peer.Wire connection = backend.accept();
+            String forwarded = connection.read();
+            assertTrue(forwarded.startsWith("GET /look/1?x=2 HTTP/1.1\r\n"), forwarded);
+            assertTrue(forwarded.matches("(?s).*Request-Id: r\\d+\r\n.*"), forwarded);
+            assertTrue(forwarded.matches("(?s).*Request-Timeout: 29\\.\\d+\r\n.*"), forwarded);
+            connection.write(OK.replace("Content", "Server-Load: inflight=7,util=0.61\r\nContent"));
             assertTrue(client.read().endsWith("\r\n\r\nbody"));
-            Outcome o = setup.awaitOutcome();
-            assertEquals(Status.OK, o.status());
-            assertEquals(r.ticket(), o.ticket());
-            assertTrue(o.over());
-            assertEquals(7, o.report().inflight());
-            assertEquals(0.61, o.report().util());
+            Outcome outcome = setup.awaitOutcome();
+            assertEquals(Status.OK, outcome.status());
+            assertEquals(request.ticket(), outcome.ticket());
+            assertTrue(outcome.over());
+            assertEquals(7, outcome.report().inflight());
+            assertEquals(0.61, outcome.report().util());
             setup.clock.advance(Backends.REUSE_DELAY_NS);
-            sent(client);
-            wire.read(); // on the same connection
-            wire.write(OK);
+            sendRequest(client);
+            connection.read(); // the same connection is used
+            connection.write(OK);
             assertTrue(client.read().endsWith("body"));
             assertTrue(backend.hasNoPendingConnection());
         }
@@ -68,17 +68,17 @@
         "500 Oops, '', ERROR", "503 Busy, '', ERROR", "504 Late, '', ERROR", "429 Busy, '', ERROR",
         "503 Busy, Not-Started: 1, FULL", "504 Late, Not-Started: 1, FULL",
         "500 Oops, Not-Started: 1, ERROR"})
-    void onlyTheBackendsOwnWordProvesThatItNeverRan(String line, String header, Status status)
+    void onlyNotStartedProvesThatTheRequestNeverRan(String line, String header, Status status)
             throws Exception {
         try (Peer.Wire client = setup.client()) {
-            sent(client);
-            Peer.Wire wire = backend.accept();
-            wire.read();
-            wire.write("HTTP/1.1 " + line + "\r\n" + (header.isEmpty() ? "" : header + "\r\n")
+            sendRequest(client);
+            Peer.Wire connection = backend.accept();
+            connection.read();
+            connection.write("HTTP/1.1 " + line + "\r\n" + (header.isEmpty() ? "" : header + "\r\n")
                     + "Content-Length: 0\r\n\r\n");
-            Outcome o = setup.awaitOutcome();
-            assertEquals(status, o.status());
-            assertFalse(o.over());
+            Outcome outcome = setup.awaitOutcome();
+            assertEquals(status, outcome.status());
+            assertFalse(outcome.over());
         }
     }
 
@@ -87,21 +87,21 @@
         "HTTP/1.1 200 OK|Content-Length: 9||half", "HTTP/1.1 200 OK|Transfer-Encoding: chunked||4|half|",
         "HTTP/1.1 200 OK||whole until the end?", "HTTP/1.1 200 OK|Content-Le", "rubbish|",
         "HTTP/1.1 200 OK|Content-Length: x||"})
-    void anAnswerThatIsNotWholeIsAResetAndIsNotServed(String answer) throws Exception {
+    void incompleteResponseIsAResetAndIsNotServed(String answer) throws Exception {
         try (Peer.Wire client = setup.client()) {
-            Request r = sent(client);
-            Peer.Wire wire = backend.accept();
-            wire.read();
-            wire.write(answer.replace("|", "\r\n")).close();
-            Outcome o = setup.awaitOutcome();
-            assertEquals(Status.RESET, o.status());
-            assertFalse(o.over());
-            setup.runOnLoop(() -> setup.actions.fail(r.ticket()));
+            Request request = sendRequest(client);
+            Peer.Wire connection = backend.accept();
+            connection.read();
+            connection.write(answer.replace("|", "\r\n")).close();
+            Outcome outcome = setup.awaitOutcome();
+            assertEquals(Status.RESET, outcome.status());
+            assertFalse(outcome.over());
+            setup.runOnLoop(() -> setup.actions.fail(request.ticket()));
             assertTrue(client.read().startsWith("HTTP/1.1 502 "));
         }
     }
 
-    /** The connection stays open: nothing but the bytes says that no answer will come of it. */
+    /** The connection stays open, so only the bytes received show that the response is invalid. */
     @ParameterizedTest
     @CsvSource({
         "xHTTP/1.1 200 OK|Content-Length: 4||body", "HTTP/1.1 OK 200|Content-Length: 4||body",
@@ -114,47 +114,48 @@
         "HTTP/1.1 200 OK|Transfer-Encoding: chunked||5|abcde|zz|abcde|0||", "HTTP/1.1 200 OK||body",
         "HTTP/1.1 200 OK|Content-Length: 4||body and the rest of it",
         "HTTP/1.1 101 Switching Protocols||", "noise"})
-    void aSpoiltAnswerIsAResetAtOnceAndItsConnectionIsOfNoUse(String answer) throws Exception {
+    void malformedResponseIsAnImmediateResetAndClosesTheConnection(String answer) throws Exception {
         try (Peer.Wire client = setup.client()) {
-            Request r = sent(client);
-            Peer.Wire wire = backend.accept();
-            wire.read();
-            wire.write(answer.replace("|", "\r\n"));
-            Outcome o = setup.awaitOutcome();
-            assertEquals(Status.RESET, o.status());
-            assertFalse(o.over());
-            assertTrue(wire.awaitClose());
-            setup.runOnLoop(() -> setup.actions.fail(r.ticket()));
+            Request request = sendRequest(client);
+            Peer.Wire connection = backend.accept();
+            connection.read();
+            connection.write(answer.replace("|", "\r\n"));
+            Outcome outcome = setup.awaitOutcome();
+            assertEquals(Status.RESET, outcome.status());
+            assertFalse(outcome.over());
+            assertTrue(connection.awaitClose());
+            setup.runOnLoop(() -> setup.actions.fail(request.ticket()));
             assertTrue(client.read().startsWith("HTTP/1.1 502 "));
         }
     }
 
     @Test
-    void aHeadWithoutEndAndInterimAnswersWithoutEndAreResets() throws Exception {
+    void endlessHeadAndEndlessInterimResponsesAreResets() throws Exception {
         for (String endless : List.of("X-Pad: ppppppppppppppppppppppppp\r\n", "HTTP/1.1 103 Early\r\n\r\n")) {
             try (Peer.Wire client = setup.client()) {
-                Request r = sent(client);
-                Peer.Wire wire = backend.accept();
-                wire.read();
-                wire.write((endless.startsWith("X") ? "HTTP/1.1 200 OK\r\n" : "") + endless.repeat(400));
+                Request request = sendRequest(client);
+                Peer.Wire connection = backend.accept();
+                connection.read();
+                connection.write((endless.startsWith("X") ? "HTTP/1.1 200 OK\r\n" : "")
+                        + endless.repeat(400));
                 assertEquals(Status.RESET, setup.awaitOutcome().status());
-                setup.runOnLoop(() -> setup.actions.fail(r.ticket()));
+                setup.runOnLoop(() -> setup.actions.fail(request.ticket()));
                 assertTrue(client.read().startsWith("HTTP/1.1 502 "));
             }
         }
     }
 
     @Test
-    void aSecondCopyBehindAGoodAnswerIsNeverTheAnswerToTheNextRequest() throws Exception {
+    void duplicateResponseInTheSameReadIsNotUsedForTheNextRequest() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            sent(client);
+            sendRequest(client);
             Peer.Wire first = backend.accept();
             first.read();
             first.write("HTTP/1.1 103 Early\r\nLink: </a>\r\n\r\n" + OK + OK.substring(0, OK.length() - 2));
             assertTrue(client.read().endsWith("\r\n\r\nbody"));
             assertEquals(Status.OK, setup.awaitOutcome().status());
             assertTrue(first.awaitClose());
-            sent(client);
+            sendRequest(client);
             Peer.Wire second = backend.accept();
             second.read();
             second.write(OK.replace("body", "next"));
@@ -163,8 +164,8 @@
     }
 
     /** Has one request served on a new connection to the backend, and returns that connection. */
-    private Peer.Wire serveOne(Peer.Wire client) throws Exception {
-        sent(client);
+    private Peer.Wire serveOnNewConnection(Peer.Wire client) throws Exception {
+        sendRequest(client);
         Peer.Wire connection = backend.accept();
         connection.read();
         connection.write(OK);
@@ -173,16 +174,16 @@
     }
 
     @Test
-    void aSecondAnswerThatComesLateIsNeverTheAnswerToTheNextRequest() throws Exception {
+    void delayedDuplicateResponseIsNotUsedForTheNextRequest() throws Exception {
         try (Peer.Wire client = setup.client()) {
             setup.clock.freeze();
-            Peer.Wire first = serveOne(client);
+            Peer.Wire first = serveOnNewConnection(client);
             client.write(Setup.get());
             Request next = setup.awaitRequest();
             setup.runOnLoop(() -> {
                 setup.actions.send(next.ticket(), server, 0);
                 try {
-                    first.write(OK); // on the loop: it is there when the sockets are looked at next
+                    first.write(OK); // on the loop, so that it is readable at the next select
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
@@ -195,12 +196,12 @@
         }
     }
 
-    /** What its client no longer wants is not written once the rest is over. */
+    /** An attempt that is cancelled during the reuse delay must not be written after it. */
     @Test
-    void anAttemptCalledOffWhileItsConnectionRestsIsNeverWritten() throws Exception {
+    void attemptCancelledDuringTheReuseDelayIsNotWritten() throws Exception {
         try (Peer.Wire client = setup.client()) {
             setup.clock.freeze();
-            Peer.Wire first = serveOne(client);
+            Peer.Wire first = serveOnNewConnection(client);
             assertEquals(Status.OK, setup.awaitOutcome().status());
             client.write(Setup.get());
             Request next = setup.awaitRequest();
@@ -213,105 +214,105 @@
         }
     }
 
-    /** A backend that closes right behind its answer must not be written to before that is seen. */
+    /** The proxy must notice that a backend closes right after its response before it writes to it again. */
     @Test
-    void theConnectionIdleLongestIsUsedFirst() throws Exception {
-        try (Peer.Wire one = setup.client(); Peer.Wire two = setup.client()) {
-            sent(one);
+    void connectionIdleLongestIsReusedFirst() throws Exception {
+        try (Peer.Wire firstClient = setup.client(); Peer.Wire secondClient = setup.client()) {
+            sendRequest(firstClient);
             Peer.Wire first = backend.accept();
             first.read();
-            sent(two);
+            sendRequest(secondClient);
             Peer.Wire second = backend.accept();
             second.read();
             first.write(OK);
-            assertTrue(one.read().endsWith("body"));
+            assertTrue(firstClient.read().endsWith("body"));
             second.write(OK);
-            assertTrue(two.read().endsWith("body"));
+            assertTrue(secondClient.read().endsWith("body"));
             setup.clock.advance(Backends.REUSE_DELAY_NS);
-            sent(one);
+            sendRequest(firstClient);
             assertTrue(first.read().startsWith("GET "));
         }
     }
 
     @Test
-    void bytesOnAnIdleConnectionCloseItAlsoWhereTheyMakeNoMessage() throws Exception {
+    void anyBytesOnAnIdleConnectionCloseIt() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            sent(client);
+            sendRequest(client);
             Peer.Wire first = backend.accept();
             first.read();
             first.write(OK);
             assertTrue(client.read().endsWith("body"));
             first.write("H");
             assertTrue(first.awaitClose());
-            sent(client);
+            sendRequest(client);
             backend.accept().read();
         }
     }
 
-    /** A request that no backend can use is its client's trouble: no backend is the worse for it. */
+    /** A request that every backend would reject must not count as a failure of the backend. */
     @Test
-    void aRequestThatTheBackendCannotUseIsOverAtOnce() throws Exception {
+    void requestThatTheBackendRejectsIsCompletedAsMoot() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            sent(client);
-            Peer.Wire wire = backend.accept();
-            wire.read();
-            wire.write("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
+            sendRequest(client);
+            Peer.Wire connection = backend.accept();
+            connection.read();
+            connection.write("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
             assertTrue(client.read().startsWith("HTTP/1.1 404 "));
-            Outcome o = setup.awaitOutcome();
-            assertEquals(Status.MOOT, o.status());
-            assertTrue(o.over());
+            Outcome outcome = setup.awaitOutcome();
+            assertEquals(Status.MOOT, outcome.status());
+            assertTrue(outcome.over());
         }
     }
 
     @Test
-    void aConnectionThatDiesAfterTheRequestIsAReset() throws Exception {
+    void connectionLostAfterTheRequestIsAReset() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            sent(client);
-            Peer.Wire wire = backend.accept();
-            wire.read();
-            wire.reset();
+            sendRequest(client);
+            Peer.Wire connection = backend.accept();
+            connection.read();
+            connection.reset();
             assertEquals(Status.RESET, setup.awaitOutcome().status());
-            assertTrue(backend.hasNoPendingConnection()); // nothing was sent again
+            assertTrue(backend.hasNoPendingConnection()); // no retry
         }
     }
 
     @Test
-    void aRefusedConnectionNeverRan() throws Exception {
+    void refusedConnectionIsAConnectFailure() throws Exception {
         backend.close();
         try (Peer.Wire client = setup.client()) {
-            sent(client);
+            sendRequest(client);
             assertEquals(Status.CONNECT_FAILED, setup.awaitOutcome().status());
         }
     }
 
     @Test
-    void aTimeoutIsTheModulesAndClosesTheConnection() throws Exception {
+    void attemptTimeoutClosesTheConnection() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get());
-            Request r = setup.awaitRequest();
-            setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 300_000_000L));
-            Peer.Wire wire = backend.accept();
-            wire.read();
-            Outcome o = setup.awaitOutcome();
-            assertEquals(Status.TIMEOUT, o.status());
-            assertFalse(o.over());
-            assertTrue(wire.awaitClose());
+            Request request = setup.awaitRequest();
+            setup.runOnLoop(() -> setup.actions.send(request.ticket(), server, 300_000_000L));
+            Peer.Wire connection = backend.accept();
+            connection.read();
+            Outcome outcome = setup.awaitOutcome();
+            assertEquals(Status.TIMEOUT, outcome.status());
+            assertFalse(outcome.over());
+            assertTrue(connection.awaitClose());
         }
     }
 
     @Test
-    void aCancelledAttemptClosesItsConnectionAndEndsOnce() throws Exception {
+    void cancelledAttemptClosesItsConnectionAndCompletesOnce() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            Request r = sent(client);
-            Peer.Wire wire = backend.accept();
-            wire.read();
+            Request request = sendRequest(client);
+            Peer.Wire connection = backend.accept();
+            connection.read();
             setup.runOnLoop(() -> {
-                setup.actions.cancel(r.ticket(), 0);
-                setup.actions.cancel(r.ticket(), 0);
+                setup.actions.cancel(request.ticket(), 0);
+                setup.actions.cancel(request.ticket(), 0);
             });
             assertEquals(Status.CANCELLED, setup.awaitOutcome().status());
-            assertTrue(wire.awaitClose());
-            setup.runOnLoop(() -> setup.actions.refuse(r.ticket(), 1_200_000_000L));
+            assertTrue(connection.awaitClose());
+            setup.runOnLoop(() -> setup.actions.refuse(request.ticket(), 1_200_000_000L));
             String answer = client.read();
             assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
             assertTrue(answer.contains("Retry-After: 1.200000\r\n"), answer);
@@ -320,16 +321,16 @@
     }
 
     @Test
-    void anIdleConnectionThatTheBackendEndsIsNotUsed() throws Exception {
+    void connectionThatTheBackendClosesIsNotReused() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            sent(client);
-            Peer.Wire wire = backend.accept();
-            wire.read();
-            wire.write(OK.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
+            sendRequest(client);
+            Peer.Wire connection = backend.accept();
+            connection.read();
+            connection.write(OK.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
             client.read();
             assertEquals(Status.OK, setup.awaitOutcome().status());
-            assertTrue(wire.awaitClose());
-            sent(client);
+            assertTrue(connection.awaitClose());
+            sendRequest(client);
             Peer.Wire second = backend.accept();
             second.read();
             second.write(OK);
@@ -338,103 +339,104 @@
     }
 
     @Test
-    void outOfDescriptorsAnAttemptFailsAndNeverRan() throws Exception {
+    void attemptWithoutADescriptorIsMoot() throws Exception {
         setup.close();
         setup = new Setup().start(Config.parse(Setup.json(discovery.hostPort(), backend.hostPort(), 6, 5000),
-                Map.of())); // two of them for backends
+                Map.of())); // two of the sockets are for backends
         server = setup.backendId();
         try (Peer.Wire first = setup.client(); Peer.Wire second = setup.client();
                 Peer.Wire third = setup.client()) {
-            sent(first);
-            sent(second);
-            Request r = sent(third);
-            Outcome o = setup.awaitOutcome();
-            assertEquals(r.ticket(), o.ticket());
-            assertEquals(Status.MOOT, o.status()); // says nothing of the backend
+            sendRequest(first);
+            sendRequest(second);
+            Request request = sendRequest(third);
+            Outcome outcome = setup.awaitOutcome();
+            assertEquals(request.ticket(), outcome.ticket());
+            assertEquals(Status.MOOT, outcome.status()); // not counted as a failure of the backend
         }
     }
 
-    /** A served attempt at each of some backends, in turn; returns their connections, which are idle then. */
-    private List<Peer.Wire> served(Backends backends, int... servers) throws Exception {
-        List<Peer.Wire> wires = new ArrayList<>();
-        ClientRequest get =
+    /** Completes one attempt at each server in turn; returns their connections, which are then idle. */
+    private List<Peer.Wire> serveOneAt(Backends backends, int... servers) throws Exception {
+        List<Peer.Wire> connections = new ArrayList<>();
+        ClientRequest request =
                 new ClientRequest(HttpMethod.GET, "/look/1", new DefaultHttpHeaders(), new byte[0]);
-        for (int s : servers) {
-            CompletableFuture<Status> end = new CompletableFuture<>();
-            setup.runOnLoop(() -> backends.send(s, get, 20_000_000_000L, () -> true,
-                    (a, status, r, answer) -> end.complete(status)));
-            Peer.Wire wire = backend.accept();
-            wire.read();
-            wire.write(OK);
-            assertEquals(Status.OK, end.get(20, TimeUnit.SECONDS));
-            wires.add(wire);
+        for (int id : servers) {
+            CompletableFuture<Status> completion = new CompletableFuture<>();
+            setup.runOnLoop(() -> backends.send(id, request, 20_000_000_000L, () -> true,
+                    (attempt, status, report, answer) -> completion.complete(status)));
+            Peer.Wire connection = backend.accept();
+            connection.read();
+            connection.write(OK);
+            assertEquals(Status.OK, completion.request(20, TimeUnit.SECONDS));
+            connections.add(connection);
         }
-        return wires;
+        return connections;
     }
 
-    private Backends backends(int sockets) throws Exception {
+    private Backends newBackends(int sockets) throws Exception {
         Config config = Setup.config(discovery, backend);
         return setup.loop.submit(() -> new Backends(setup.loop, setup.clock, new Sockets(sockets).backends,
-                config, Backends.tcp(setup.loop), n -> listed(n, State.READY))).get();
+                config, Backends.tcp(setup.loop), id -> listEntry(id, State.READY))).get();
     }
 
-    private Discovery.Listed listed(int number, State state) {
-        return new Discovery.Listed(new Member(number, 0, state, 0, 0, 0, 1), backend.address());
+    private Discovery.Listed listEntry(int id, State state) {
+        return new Discovery.Listed(new Member(id, 0, state, 0, 0, 0, 1), backend.address());
     }
 
-    private int inUse(Backends backends) throws Exception {
+    private int trackedCount(Backends backends) throws Exception {
         return setup.loop.submit(backends::trackedCount).get(20, TimeUnit.SECONDS);
     }
 
-    /** The list may be long: what is kept, and walked, is what is in use. */
+    /** The member list may be long: only the state of backends in use is kept and scanned. */
     @Test
-    void ofBackendsThatAreListedAndNotInUseNothingIsKept() throws Exception {
-        Backends backends = backends(1024);
-        List<Discovery.Listed> list = IntStream.range(0, 1000).mapToObj(n -> listed(n, State.READY)).toList();
+    void onlyBackendsInUseAreTracked() throws Exception {
+        Backends backends = newBackends(1024);
+        List<Discovery.Listed> list =
+                IntStream.range(0, 1000).mapToObj(id -> listEntry(id, State.READY)).toList();
         setup.runOnLoop(() -> backends.apply(new Discovery.ListUpdate(ListKind.FULL, 1, list)));
-        assertEquals(0, inUse(backends));
+        assertEquals(0, trackedCount(backends));
         setup.clock.freeze();
-        List<Peer.Wire> wires = served(backends, 3, 4, 5);
-        assertEquals(3, inUse(backends));
-        List<Discovery.Listed> change = List.of(listed(4, State.GONE));
-        setup.runOnLoop(() -> backends.apply(new Discovery.ListUpdate(ListKind.DELTA, 2, change)));
-        assertTrue(wires.get(1).awaitClose(), "idle at one that is gone");
-        assertEquals(2, inUse(backends));
-        setup.clock.advance(15_000_000_000L); // the keep-alive time: all idle ones are closed
-        assertTrue(wires.get(0).awaitClose() && wires.get(2).awaitClose());
-        assertEquals(0, inUse(backends));
+        List<Peer.Wire> connections = serveOneAt(backends, 3, 4, 5);
+        assertEquals(3, trackedCount(backends));
+        List<Discovery.Listed> changes = List.of(listEntry(4, State.GONE));
+        setup.runOnLoop(() -> backends.apply(new Discovery.ListUpdate(ListKind.DELTA, 2, changes)));
+        assertTrue(connections.get(1).awaitClose(), "idle connection to a server that is gone");
+        assertEquals(2, trackedCount(backends));
+        setup.clock.advance(15_000_000_000L); // the keep-alive time, after which idle connections are closed
+        assertTrue(connections.get(0).awaitClose() && connections.get(2).awaitClose());
+        assertEquals(0, trackedCount(backends));
     }
 
     @Test
-    void ofAllIdleConnectionsTheOneIdleLongestMakesRoom() throws Exception {
-        Backends backends = backends(6); // two of them for backends
+    void connectionIdleLongestIsClosedToFreeADescriptor() throws Exception {
+        Backends backends = newBackends(6); // two of the sockets are for backends
         setup.clock.freeze();
-        List<Peer.Wire> wires = new ArrayList<>(served(backends, 9, 8));
+        List<Peer.Wire> connections = new ArrayList<>(serveOneAt(backends, 9, 8));
         setup.clock.advance(Backends.REUSE_DELAY_NS);
-        wires.addAll(served(backends, 7));
-        assertTrue(wires.get(0).awaitClose());
+        connections.addAll(serveOneAt(backends, 7));
+        assertTrue(connections.get(0).awaitClose());
         setup.runOnLoop(() -> backends.closeIdle(7));
-        assertTrue(wires.get(2).awaitClose());
-        assertEquals(1, inUse(backends), "the second is idle still");
+        assertTrue(connections.get(2).awaitClose());
+        assertEquals(1, trackedCount(backends), "the second connection is still idle");
     }
 
-    /** Also of one that nothing was sent to before. */
+    /** Holds for a backend that was not in use before, too. */
     @Test
-    void oneThatHasDrainedForLongIsSentNothing() throws Exception {
-        Member drains = new Member(server, 0, State.DRAINING, 0, 3, 0, 1);
+    void backendDrainingForLongerThanTheGraceIsSentNothing() throws Exception {
+        Member draining = new Member(server, 0, State.DRAINING, 0, 3, 0, 1);
         setup.clock.freeze();
         setup.runOnLoop(() -> setup.proxy.onListUpdate(new Discovery.ListUpdate(ListKind.DELTA, 42,
-                List.of(new Discovery.Listed(drains, backend.address())))));
-        setup.clock.advance(500_000_001L); // the grace, and more
+                List.of(new Discovery.Listed(draining, backend.address())))));
+        setup.clock.advance(500_000_001L); // longer than the drain grace
         try (Peer.Wire client = setup.client()) {
-            sent(client);
+            sendRequest(client);
             assertEquals(Status.MOOT, setup.awaitOutcome().status());
             assertEquals("", backend.accept().read());
         }
     }
 
     @Test
-    void aReportThatMakesNoSenseIsNone() {
+    void invalidLoadReportIsIgnored() {
         assertNull(Backends.parseReport(null));
         assertNull(Backends.parseReport("inflight=x"));
         assertNull(Backends.parseReport("util"));
--- a/src/test/java/dewstage/proxy/ClientEvictionTest.java
+++ b/src/test/java/dewstage/proxy/ClientEvictionTest.java
@@ -14,26 +14,26 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients that are turned away before they have said anything must leave a trace. */
+/** Which clients are evicted when no slot is free, and that evictions are logged. */
 @Timeout(60)
 class ClientEvictionTest {
     @Test
-    void connectionsClosedToMakeRoomAreCountedInTheLog() throws Exception {
-        PrintStream before = System.err;
+    void evictedConnectionsAreCountedInTheLog() throws Exception {
+        PrintStream originalErr = System.err;
         ByteArrayOutputStream log = new ByteArrayOutputStream();
         List<Peer.Wire> clients = new ArrayList<>();
         try (Peer discovery = new Peer(); Peer backend = new Peer(); Setup setup = new Setup()) {
             System.setErr(new PrintStream(log, true));
-            setup.start(sevenPlaces(discovery, backend));
+            setup.start(configWithSevenClientSlots(discovery, backend));
             for (int i = 0; i < 9; i++) {
                 clients.add(setup.client());
             }
             assertTrue(clients.get(0).awaitClose() && clients.get(1).awaitClose());
             setup.proxy.drain().get(20, TimeUnit.SECONDS);
         } finally {
-            System.setErr(before);
-            for (Peer.Wire w : clients) {
-                w.close();
+            System.setErr(originalErr);
+            for (Peer.Wire connection : clients) {
+                connection.close();
             }
         }
         assertTrue(
@@ -42,17 +42,17 @@
     }
 
     @Test
-    void newClientsDoNotPushOutEachOtherWhileOthersStandIdle() throws Exception {
+    void newClientsEvictIdleOnesRatherThanEachOther() throws Exception {
         List<Peer.Wire> clients = new ArrayList<>();
         try (Peer discovery = new Peer(); Peer backend = new Peer();
-                Setup setup = new Setup().start(sevenPlaces(discovery, backend))) {
+                Setup setup = new Setup().start(configWithSevenClientSlots(discovery, backend))) {
             for (int i = 0; i < 7; i++) {
                 clients.add(setup.client().write(Setup.get()));
-                Request r = setup.awaitRequest();
-                setup.runOnLoop(() -> setup.actions.fail(r.ticket()));
+                Request request = setup.awaitRequest();
+                setup.runOnLoop(() -> setup.actions.fail(request.ticket()));
                 assertTrue(clients.get(i).read().startsWith("HTTP/1.1 502 "));
             }
-            setup.runOnLoop(() -> { // while the loop is held up both come, and are accepted in one go
+            setup.runOnLoop(() -> { // blocks the loop, so that both are accepted in one batch
                 try {
                     clients.add(setup.client());
                     clients.add(setup.client());
@@ -63,19 +63,19 @@
             assertTrue(clients.get(0).awaitClose() && clients.get(1).awaitClose());
             for (int i = 7; i < 9; i++) {
                 clients.get(i).write(Setup.get());
-                Request r = setup.awaitRequest();
-                setup.runOnLoop(() -> setup.actions.fail(r.ticket()));
+                Request request = setup.awaitRequest();
+                setup.runOnLoop(() -> setup.actions.fail(request.ticket()));
                 assertTrue(clients.get(i).read().startsWith("HTTP/1.1 502 "));
             }
         } finally {
-            for (Peer.Wire w : clients) {
-                w.close();
+            for (Peer.Wire connection : clients) {
+                connection.close();
             }
         }
     }
 
-    /** 16 less a quarter, and three fifths of these. */
-    private static Config sevenPlaces(Peer discovery, Peer backend) throws ConfigException {
+    /** Of 16 sockets a quarter is reserved, and three fifths of the rest are for clients. */
+    private static Config configWithSevenClientSlots(Peer discovery, Peer backend) throws ConfigException {
         return Config.parse(Setup.json(discovery.hostPort(), backend.hostPort(), 16, 5000), Map.of());
     }
 }
--- a/src/test/java/dewstage/proxy/DescriptorsTest.java
+++ b/src/test/java/dewstage/proxy/DescriptorsTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The program under a real limit on descriptors, with every place taken. */
+/** The program with a real limit on descriptors, when all of them are in use. */
 @Timeout(120)
 class DescriptorsTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
@@ -35,10 +35,10 @@
     @TempDir
     Path folder;
 
-    /** As many backends as there are descriptors, all at one address. */
-    private void write(int limit, int listen, int discovery, Peer backend) throws IOException {
-        JsonNode root = Setup.json("127.0.0.1:" + discovery, backend.hostPort(), limit, 5000);
-        ((ObjectNode) root).put("listen", "127.0.0.1:" + listen);
+    /** Writes a configuration with as many backends as there are descriptors, all at one address. */
+    private void writeConfig(int limit, int listenPort, int discoveryPort, Peer backend) throws IOException {
+        JsonNode root = Setup.json("127.0.0.1:" + discoveryPort, backend.hostPort(), limit, 5000);
+        ((ObjectNode) root).put("listen", "127.0.0.1:" + listenPort);
         ((ObjectNode) root.path("settings")).put("balancers", 1);
         ArrayNode instances = (ArrayNode) root.at("/known/instances");
         for (int i = 2; i <= limit; i++) {
@@ -47,7 +47,7 @@
         Files.writeString(folder.resolve("config.json"), root.toString());
     }
 
-    /** Starts a program that may have so many descriptors. */
+    /** Starts a program with a limit on its descriptors. */
     private Process start(int limit, String... program) throws IOException {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         List<String> command = new ArrayList<>(List.of("sh", "-c",
@@ -60,194 +60,197 @@
     }
 
     private static int freePort() throws IOException {
-        try (Peer p = new Peer()) {
-            return p.address().getPort();
+        try (Peer peer = new Peer()) {
+            return peer.address().getPort();
         }
     }
 
-    /** The log, gathered until the process ends. */
-    private static LinkedBlockingQueue<String> log(Process p) {
+    /** Collects the log lines of the process in the background. */
+    private static LinkedBlockingQueue<String> logLines(Process process) {
         LinkedBlockingQueue<String> lines = new LinkedBlockingQueue<>();
-        Thread t = new Thread(() -> {
-            try (BufferedReader log = p.errorReader()) {
+        Thread thread = new Thread(() -> {
+            try (BufferedReader log = process.errorReader()) {
                 for (String line = log.readLine(); line != null; line = log.readLine()) {
                     lines.add(line);
                 }
             } catch (IOException e) {
-                // the process is gone
+                // the process has exited
             }
         });
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
         return lines;
     }
 
-    private static void said(LinkedBlockingQueue<String> log, String text) throws InterruptedException {
+    private static void awaitLogLine(LinkedBlockingQueue<String> logLines, String text)
+            throws InterruptedException {
         String line = "";
         while (!line.contains(text)) {
-            line = log.poll(60, TimeUnit.SECONDS);
-            assertTrue(line != null, "not said: " + text);
+            line = logLines.poll(60, TimeUnit.SECONDS);
+            assertTrue(line != null, "not logged: " + text);
         }
     }
 
-    private static long descriptors(Process p) throws IOException {
-        try (Stream<Path> fds = Files.list(Path.of("/proc", String.valueOf(p.pid()), "fd"))) {
-            return fds.count();
+    private static long openDescriptors(Process process) throws IOException {
+        try (Stream<Path> entries = Files.list(Path.of("/proc", String.valueOf(process.pid()), "fd"))) {
+            return entries.count();
         }
     }
 
-    /** Answers whatever comes, on each connection that does. */
-    private static void answer(Peer backend) {
-        Thread t = new Thread(() -> {
+    /** Responds to every request on every connection. */
+    private static void respondToAll(Peer backend) {
+        Thread thread = new Thread(() -> {
             try {
                 while (true) {
-                    Peer.Wire wire = backend.accept();
-                    Thread each = new Thread(() -> {
+                    Peer.Wire connection = backend.accept();
+                    Thread connectionThread = new Thread(() -> {
                         try {
-                            while (!wire.read().isEmpty()) {
-                                wire.write(OK);
+                            while (!connection.read().isEmpty()) {
+                                connection.write(OK);
                             }
                         } catch (IOException e) {
-                            // closed: it is over
+                            // the connection is closed
                         }
                     });
-                    each.setDaemon(true);
-                    each.start();
+                    connectionThread.setDaemon(true);
+                    connectionThread.start();
                 }
             } catch (InterruptedException | AssertionError e) {
                 // no more are expected
             }
         });
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 
     @ParameterizedTest
     @ValueSource(ints = {256, 128})
-    void withEveryPlaceTakenARequestIsServedAndTheWatchIsOpenedAgain(int limit) throws Exception {
-        int listen = freePort();
-        int away = freePort();
-        List<Peer.Wire> crowd = new ArrayList<>();
+    void withAllDescriptorsInUseRequestsAreServedAndTheWatchReconnects(int limit) throws Exception {
+        int listenPort = freePort();
+        int discoveryPort = freePort();
+        List<Peer.Wire> idleClients = new ArrayList<>();
         try (Peer backend = new Peer()) {
-            write(limit, listen, away, backend);
-            answer(backend);
-            Process p = start(limit, "dewstage.Main", "serve");
-            LinkedBlockingQueue<String> log = log(p);
+            writeConfig(limit, listenPort, discoveryPort, backend);
+            respondToAll(backend);
+            Process process = start(limit, "dewstage.Main", "serve");
+            LinkedBlockingQueue<String> logLines = logLines(process);
             try {
-                said(log, " ready");
-                InetSocketAddress proxy = new InetSocketAddress("127.0.0.1", listen);
-                long atStart = descriptors(p);
-                try (Peer.Wire client = Peer.Wire.to(proxy)) { // to each backend, while places last
+                awaitLogLine(logLines, " ready");
+                InetSocketAddress proxy = new InetSocketAddress("127.0.0.1", listenPort);
+                long atStart = openDescriptors(process);
+                try (Peer.Wire client = Peer.Wire.to(proxy)) { // to each backend, until its slots run out
                     for (int i = 0; i < 2 * limit; i++) {
                         client.write(Setup.get("Request-Timeout: 2\r\n"));
                         assertTrue(client.read().contains(" 200 "));
                     }
                 }
-                long withBackends = descriptors(p);
+                long withBackends = openDescriptors(process);
                 for (int i = 0; i < limit; i++) {
-                    crowd.add(Peer.Wire.to(proxy));
+                    idleClients.add(Peer.Wire.to(proxy));
                 }
-                try (Peer.Wire first = Peer.Wire.to(proxy)) {
-                    assertTrue(first.write(Setup.get("Request-Timeout: 2\r\n")).read().contains(" 200 "));
+                try (Peer.Wire activeClient = Peer.Wire.to(proxy)) {
+                    assertTrue(activeClient.write(Setup.get("Request-Timeout: 2\r\n")).read()
+                            .contains(" 200 "));
                 }
-                long full = descriptors(p);
-                assertTrue(atStart < withBackends && withBackends < full && full < limit,
-                        atStart + ", " + withBackends + ", " + full);
-                try (Peer back = new Peer(away)) {
-                    Peer.Wire watch = back.accept();
+                long withClients = openDescriptors(process);
+                assertTrue(atStart < withBackends && withBackends < withClients && withClients < limit,
+                        atStart + ", " + withBackends + ", " + withClients);
+                try (Peer discovery = new Peer(discoveryPort)) {
+                    Peer.Wire watch = discovery.accept();
                     assertTrue(watch.read().startsWith("GET /catalog/members?stream=1"));
                     watch.write(WATCH);
-                    assertTrue(p.isAlive());
+                    assertTrue(process.isAlive());
                 }
             } finally {
-                p.destroyForcibly().waitFor();
-                for (Peer.Wire w : crowd) {
-                    w.close();
+                process.destroyForcibly().waitFor();
+                for (Peer.Wire connection : idleClients) {
+                    connection.close();
                 }
             }
-            assertEquals(List.of(), log.stream().filter(l -> l.contains("oo many open files")).toList());
+            assertEquals(List.of(), logLines.stream().filter(l -> l.contains("oo many open files")).toList());
         }
     }
 
-    /** The share of a side is an estimate: where it is wrong, that must pass with the shortage. */
+    /** The shares of descriptors are estimates; if one is wrong, the proxy must recover from the shortage. */
     @Test
-    void aShortageOfDescriptorsIsOverOnceTheyAreBack() throws Exception {
+    void proxyRecoversOnceDescriptorsAreAvailableAgain() throws Exception {
         try (Peer discovery = new Peer(); Peer backend = new Peer()) {
-            int listen = freePort();
-            Files.writeString(folder.resolve("config.json"), Setup.json(discovery.hostPort(),
-                    backend.hostPort(), 6, 5000).toString().replace("127.0.0.1:0", "127.0.0.1:" + listen));
-            Process p = start(256, Short.class.getName());
-            LinkedBlockingQueue<String> log = log(p);
-            try (BufferedWriter orders = p.outputWriter()) {
+            int listenPort = freePort();
+            Files.writeString(folder.resolve("config.json"),
+                    Setup.json(discovery.hostPort(), backend.hostPort(), 6, 5000).toString()
+                            .replace("127.0.0.1:0", "127.0.0.1:" + listenPort));
+            Process process = start(256, ProxyWithoutDescriptors.class.getName());
+            LinkedBlockingQueue<String> logLines = logLines(process);
+            try (BufferedWriter commands = process.outputWriter()) {
                 Peer.Wire watch = discovery.accept();
                 watch.read();
                 watch.write(WATCH + Integer.toHexString(SAME_LIST.length()) + "\r\n" + SAME_LIST + "\r\n");
-                said(log, "brought DELTA");
-                try (Peer.Wire client = Peer.Wire.to(new InetSocketAddress("127.0.0.1", listen))) {
+                awaitLogLine(logLines, "brought DELTA");
+                try (Peer.Wire client = Peer.Wire.to(new InetSocketAddress("127.0.0.1", listenPort))) {
                     client.write("GET /none HTTP/1.1\r\n\r\n");
-                    assertTrue(client.read().startsWith("HTTP/1.1 404 ")); // it has its place
-                    orders.append('\n').flush();
-                    said(log, "none left");
-                    for (int i = 0; i < 3; i++) { // of two places for backends none is lost
+                    assertTrue(client.read().startsWith("HTTP/1.1 404 ")); // the connection is accepted
+                    commands.append('\n').flush();
+                    awaitLogLine(logLines, "none left");
+                    for (int i = 0; i < 3; i++) { // neither of the two slots for backends is lost
                         assertTrue(client.write(Setup.get()).read().startsWith("HTTP/1.1 502 "));
                     }
                     watch.close();
-                    said(log, "discovery cannot be called");
-                    orders.append('\n').flush();
-                    said(log, "back");
+                    awaitLogLine(logLines, "discovery cannot be called");
+                    commands.append('\n').flush();
+                    awaitLogLine(logLines, "back");
                     assertTrue(discovery.accept().read().contains("index=41 "));
                     client.write(Setup.get());
-                    Peer.Wire wire = backend.accept();
-                    wire.read();
-                    wire.write(OK);
+                    Peer.Wire connection = backend.accept();
+                    connection.read();
+                    connection.write(OK);
                     assertTrue(client.read().endsWith("body"));
                 }
             } finally {
-                p.destroyForcibly().waitFor();
+                process.destroyForcibly().waitFor();
             }
         }
     }
 
-    /** A proxy that is left without descriptors at the first line that it reads, and has them at the next. */
-    static final class Short {
-        private Short() { }
+    /** A proxy that uses up all descriptors when it reads a line, and frees them when it reads another. */
+    static final class ProxyWithoutDescriptors {
+        private ProxyWithoutDescriptors() { }
 
         public static void main(String[] args) throws Exception {
-            Thread orders = new Thread(() -> {
+            Thread commands = new Thread(() -> {
                 try {
                     System.in.read();
-                    List<FileInputStream> taken = take(new ArrayList<>());
+                    List<FileInputStream> descriptors = openAll(new ArrayList<>());
                     System.err.println("none left");
                     while (System.in.available() == 0) {
-                        take(taken); // also what is given back meanwhile
+                        openAll(descriptors); // including those released meanwhile
                     }
-                    for (FileInputStream f : taken) {
-                        f.close();
+                    for (FileInputStream descriptor : descriptors) {
+                        descriptor.close();
                     }
                     System.err.println("back");
                 } catch (IOException e) {
                     System.err.println(e);
                 }
             });
-            orders.setDaemon(true);
-            orders.start();
-            Proxy.run(System.getenv(), (settings, seed, now, out) -> new Sending(out));
+            commands.setDaemon(true);
+            commands.start();
+            Proxy.run(System.getenv(), (settings, seed, now, out) -> new SendOnceBalancer(out));
         }
 
-        private static List<FileInputStream> take(List<FileInputStream> taken) {
+        private static List<FileInputStream> openAll(List<FileInputStream> descriptors) {
             try {
                 while (true) {
-                    taken.add(new FileInputStream("/dev/null"));
+                    descriptors.add(new FileInputStream("/dev/null"));
                 }
             } catch (IOException e) {
-                return taken; // none left
+                return descriptors; // none left
             }
         }
     }
 
-    /** A module that sends each request once, to the server that it heard of last. */
-    private record Sending(Actions out, int[] server) implements Balancer {
-        Sending(Actions out) {
+    /** A module that sends each request once, to the last server of its latest list. */
+    private record SendOnceBalancer(Actions out, int[] server) implements Balancer {
+        SendOnceBalancer(Actions out) {
             this(out, new int[1]);
         }
 
--- a/src/test/java/dewstage/proxy/FrontendTest.java
+++ b/src/test/java/dewstage/proxy/FrontendTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What clients send and get, down to the end of the process. */
+/** How client requests and connections are handled, up to the drain of the proxy. */
 class FrontendTest extends LoopbackTest {
     @ParameterizedTest
     @CsvSource({
@@ -44,16 +44,16 @@
         "405, 'POST /look HTTP/1.1|Request-Id: r|Request-Timeout: 1|Content-Length: 0|'",
         "405, 'GET /order HTTP/1.1|Request-Id: r|Request-Timeout: 1|'",
         "413, 'POST /order HTTP/1.1|Request-Id: r|Request-Timeout: 1|Content-Length: 65537|'"})
-    void whatMakesNoSenseIsTurnedAwayAndNotHandedOn(int status, String request) throws Exception {
+    void invalidRequestIsRejectedAndNotPassedToTheModule(int status, String text) throws Exception {
         try (Peer.Wire client = setup.client()) {
-            client.write(request.replace("|", "\r\n") + "\r\n");
-            String answer = client.read();
-            assertTrue(answer.startsWith("HTTP/1.1 " + status + " "), answer);
-            assertTrue(setup.events.stream().noneMatch(t -> t.kind().equals("request")));
+            client.write(text.replace("|", "\r\n") + "\r\n");
+            String response = client.read();
+            assertTrue(response.startsWith("HTTP/1.1 " + status + " "), response);
+            assertTrue(setup.events.stream().noneMatch(event -> event.kind().equals("request")));
         }
     }
 
-    /** What cannot be read ends the connection; what stands behind it is nobody's request. */
+    /** A malformed request closes the connection; bytes after it are not parsed as a request. */
     @ParameterizedTest
     @CsvSource({
         "400, 'POST /order HTTP/1.1|Request-Id: r|Content-Length: 4|Transfer-Encoding: chunked||0||'",
@@ -66,86 +66,87 @@
         "400, 'GET /look HTTP/1.1|no colon here|'", "505, 'GET /look HTTP/7.1|Request-Id: r|'",
         "413, 'POST /order HTTP/1.1|Request-Id: r|Content-Length: 62914560|'",
         "417, 'POST /order HTTP/1.1|Request-Id: r|Expect: miracles|Content-Length: 4|'"})
-    void whatCannotBeReadEndsTheConnection(int status, String request) throws Exception {
+    void malformedRequestClosesTheConnection(int status, String text) throws Exception {
         try (Peer.Wire client = setup.client()) {
-            client.write(request.replace("|", "\r\n") + "\r\n" + Setup.get());
-            String answer = client.read();
-            assertTrue(answer.startsWith("HTTP/1.1 " + status + " "), answer);
+            client.write(text.replace("|", "\r\n") + "\r\n" + Setup.get());
+            String response = client.read();
+            assertTrue(response.startsWith("HTTP/1.1 " + status + " "), response);
             assertTrue(client.awaitClose());
-            assertTrue(setup.events.stream().noneMatch(t -> t.kind().equals("request")));
+            assertTrue(setup.events.stream().noneMatch(event -> event.kind().equals("request")));
         }
     }
 
     @Test
-    void aHeadWithoutEndIsTurnedAway() throws Exception {
+    void endlessHeadIsRejected() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write("GET /look HTTP/1.1\r\n" + "X-Pad: ppppppppppppppppppppp\r\n".repeat(400));
             assertTrue(client.read().startsWith("HTTP/1.1 431 "));
         }
     }
 
-    /** The proxy's own limits end these; the test only waits for that. */
+    /** The request timeout of the proxy runs in real time; the test waits for it. */
     @ParameterizedTest
     @CsvSource({"''", "'GET /look'", "'GET /look HTTP/1.1|Request-Id: r|'",
         "'POST /order HTTP/1.1|Request-Id: r|Content-Length: 9||half'"})
-    void aClientThatNeverSendsAWholeRequestIsNotWaitedFor(String part) throws Exception {
+    void incompleteRequestTimesOut(String partialRequest) throws Exception {
         try (Peer.Wire client = setup.client()) {
-            client.write(part.replace("|", "\r\n"));
-            String answer = client.read();
-            assertTrue(part.isEmpty() ? answer.isEmpty() : answer.startsWith("HTTP/1.1 408 "), answer);
+            client.write(partialRequest.replace("|", "\r\n"));
+            String response = client.read();
+            assertTrue(partialRequest.isEmpty() ? response.isEmpty()
+                    : response.startsWith("HTTP/1.1 408 "), response);
         }
     }
 
     @Test
-    void anIdThatIsOpenOrWasLatelyIsRefusedAndNothingIsSent() throws Exception {
-        String request = Setup.get();
+    void openOrRecentRequestIdIsRejected() throws Exception {
+        String text = Setup.get();
         try (Peer.Wire client = setup.client(); Peer.Wire other = setup.client()) {
-            client.write(request);
-            Request r = setup.awaitRequest();
-            other.write(request);
+            client.write(text);
+            Request request = setup.awaitRequest();
+            other.write(text);
             assertTrue(other.read().startsWith("HTTP/1.1 409 "));
-            setup.runOnLoop(() -> setup.actions.refuse(r.ticket(), 0));
+            setup.runOnLoop(() -> setup.actions.refuse(request.ticket(), 0));
             assertTrue(client.read().startsWith("HTTP/1.1 503 "));
-            other.write(request);
+            other.write(text);
             assertTrue(other.read().startsWith("HTTP/1.1 409 "));
-            assertTrue(setup.events.stream().noneMatch(t -> t.kind().equals("request")));
+            assertTrue(setup.events.stream().noneMatch(event -> event.kind().equals("request")));
         }
     }
 
     @Test
-    void someAtOnceAreAnsweredOneAfterTheOther() throws Exception {
+    void pipelinedRequestsAreHandledInOrder() throws Exception {
         try (Peer.Wire client = setup.client()) {
-            StringBuilder some = new StringBuilder();
+            StringBuilder pipelined = new StringBuilder();
             for (int i = 0; i < ClientConnection.MAX_PIPELINED_REQUESTS; i++) {
-                some.append(Setup.get());
+                pipelined.append(Setup.get());
             }
-            client.write(some.toString());
+            client.write(pipelined.toString());
             for (int i = 0; i < ClientConnection.MAX_PIPELINED_REQUESTS; i++) {
-                Request r = setup.awaitRequest();
-                setup.runOnLoop(() -> setup.actions.refuse(r.ticket(), 0));
+                Request request = setup.awaitRequest();
+                setup.runOnLoop(() -> setup.actions.refuse(request.ticket(), 0));
                 assertTrue(client.read().startsWith("HTTP/1.1 503 "));
             }
         }
     }
 
     @Test
-    void tooManyAtOnceAreTurnedAwayUnsent() throws Exception {
+    void tooManyPipelinedRequestsAreRejected() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get().repeat(ClientConnection.MAX_PIPELINED_REQUESTS + 1));
             assertTrue(client.read().startsWith("HTTP/1.1 429 "));
             assertTrue(client.awaitClose());
-            assertTrue(setup.events.stream().noneMatch(t -> t.kind().equals("request")));
+            assertTrue(setup.events.stream().noneMatch(event -> event.kind().equals("request")));
         }
     }
 
-    /** Connection may name any header as its own: the backend needs these all the same. */
+    /** The Connection header may name any header as hop-by-hop, but the backend needs these. */
     @Test
-    void whatTheBackendNeedsCannotBeTakenAway() throws Exception {
+    void connectionHeaderCannotRemoveHeadersThatTheBackendNeeds() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get("Request-Timeout: 30\r\nX-Odd: 1\r\n"
                     + "Connection: request-id, cookie\r\nCookie: sid=1\r\n"));
-            Request r = setup.awaitRequest();
-            setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
+            Request request = setup.awaitRequest();
+            setup.runOnLoop(() -> setup.actions.send(request.ticket(), server, 0));
             String sent = backend.accept().read();
             assertTrue(sent.contains("Request-Id: r") && sent.contains("Cookie: sid=1\r\n"), sent);
             assertFalse(sent.contains("X-Odd") || sent.contains("Connection"), sent);
@@ -153,20 +154,20 @@
     }
 
     @Test
-    void theModuleIsToldWhatTheClientSaid() throws Exception {
+    void moduleReceivesTheAttributesOfTheRequest() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write("POST /order/7 HTTP/1.1\r\nRequest-Id: r\r\nRequest-Timeout: 2.5\r\n"
                     + "Idempotency-Key: k\r\nCookie: a=b; sid=7f3a9c21e0b4d655\r\n"
                     + "Client-Retry: 1\r\nWork-Hint: 300\r\n"
                     + "Content-Length: 3\r\n\r\nabc");
-            Request r = setup.awaitRequest();
-            assertEquals(1, r.profile());
-            assertEquals(RequestMetadata.keyFromCookies("sid=7f3a9c21e0b4d655"), r.key());
-            assertNotEquals(0, r.key());
-            assertEquals(300_000, r.hintNs());
-            assertTrue(r.repeat());
-            assertTrue(r.leftNs() > 2_000_000_000L && r.leftNs() < 2_500_000_000L);
-            setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
+            Request request = setup.awaitRequest();
+            assertEquals(1, request.profile());
+            assertEquals(RequestMetadata.keyFromCookies("sid=7f3a9c21e0b4d655"), request.key());
+            assertNotEquals(0, request.key());
+            assertEquals(300_000, request.hintNs());
+            assertTrue(request.repeat());
+            assertTrue(request.leftNs() > 2_000_000_000L && request.leftNs() < 2_500_000_000L);
+            setup.runOnLoop(() -> setup.actions.send(request.ticket(), server, 0));
             String sent = backend.accept().read();
             assertTrue(sent.startsWith("POST /order/7 ") && sent.endsWith("\r\n\r\nabc"), sent);
             assertTrue(sent.contains("Idempotency-Key: k\r\n"), sent);
@@ -174,44 +175,44 @@
     }
 
     @Test
-    void aClientThatClosesHasGoneAndItsAttemptIsCalledOff() throws Exception {
+    void disconnectOfTheClientCancelsItsAttempt() throws Exception {
         Peer.Wire client = setup.client();
         client.write(Setup.get());
-        Request r = setup.awaitRequest();
-        setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
-        Peer.Wire wire = backend.accept();
-        wire.read();
+        Request request = setup.awaitRequest();
+        setup.runOnLoop(() -> setup.actions.send(request.ticket(), server, 0));
+        Peer.Wire connection = backend.accept();
+        connection.read();
         client.close();
-        assertEquals(r.ticket(), setup.awaitEvent("withdrawn", Integer.class));
-        Outcome o = setup.awaitOutcome();
-        assertEquals(Status.CANCELLED, o.status());
-        assertTrue(o.over());
-        assertTrue(wire.awaitClose());
+        assertEquals(request.ticket(), setup.awaitEvent("withdrawn", Integer.class));
+        Outcome outcome = setup.awaitOutcome();
+        assertEquals(Status.CANCELLED, outcome.status());
+        assertTrue(outcome.over());
+        assertTrue(connection.awaitClose());
     }
 
     @Test
-    void theBackstopAnswersInTimeAndNothingGoesOutAfterwards() throws Exception {
+    void backstopAnswersInTimeAndNothingIsSentAfterwards() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get("Request-Timeout: 0.3\r\n"));
-            Request r = setup.awaitRequest();
+            Request request = setup.awaitRequest();
             assertTrue(client.read().startsWith("HTTP/1.1 504 "));
             setup.awaitEvent("withdrawn", Integer.class);
-            setup.runOnLoop(() -> setup.actions.send(r.ticket(), server, 0));
-            Outcome o = setup.awaitOutcome();
-            assertEquals(Status.MOOT, o.status());
-            assertTrue(o.over());
+            setup.runOnLoop(() -> setup.actions.send(request.ticket(), server, 0));
+            Outcome outcome = setup.awaitOutcome();
+            assertEquals(Status.MOOT, outcome.status());
+            assertTrue(outcome.over());
             assertTrue(backend.hasNoPendingConnection());
         }
     }
 
     @Test
-    void aRequestIsAnsweredOnceWhateverTheModuleSays() throws Exception {
+    void requestIsAnsweredOnlyOnce() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get());
-            Request r = setup.awaitRequest();
+            Request request = setup.awaitRequest();
             setup.runOnLoop(() -> {
-                setup.actions.refuse(r.ticket(), 0);
-                setup.actions.fail(r.ticket());
+                setup.actions.refuse(request.ticket(), 0);
+                setup.actions.fail(request.ticket());
             });
             String refused = client.read();
             assertTrue(refused.startsWith("HTTP/1.1 503 ") && !refused.contains("Retry-After"), refused);
@@ -221,8 +222,8 @@
     }
 
     @Test
-    void theModuleIsNeverCalledFromInsideItsOwnAction() throws Exception {
-        setup.onRequest = () -> setup.actions.send(999, server, 0); // ends at once, as moot
+    void moduleIsNotCalledFromWithinItsOwnAction() throws Exception {
+        setup.onRequest = () -> setup.actions.send(999, server, 0); // an unknown ticket: moot immediately
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get());
             setup.awaitRequest();
@@ -231,42 +232,42 @@
     }
 
     @Test
-    void aModuleThatThrowsCostsOneRequest() throws Exception {
+    void exceptionInTheModuleFailsOnlyOneRequest() throws Exception {
         setup.onRequest = () -> {
-            throw new IllegalStateException("a slip");
+            throw new IllegalStateException("thrown by the module");
         };
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get());
             assertTrue(client.read().startsWith("HTTP/1.1 502 "));
             setup.onRequest = () -> { };
             client.write(Setup.get());
-            Request r = setup.awaitRequest();
-            setup.runOnLoop(() -> setup.actions.refuse(r.ticket(), 0));
+            Request request = setup.awaitRequest();
+            setup.runOnLoop(() -> setup.actions.refuse(request.ticket(), 0));
             assertTrue(client.read().startsWith("HTTP/1.1 503 "));
         }
     }
 
     @Test
-    void requestsOnOneConnectionAreAnsweredInOrder() throws Exception {
+    void responsesOnOneConnectionAreInRequestOrder() throws Exception {
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get() + "GET /none HTTP/1.1\r\n\r\n");
-            Request r = setup.awaitRequest();
-            setup.runOnLoop(() -> setup.actions.fail(r.ticket()));
+            Request request = setup.awaitRequest();
+            setup.runOnLoop(() -> setup.actions.fail(request.ticket()));
             assertTrue(client.read().startsWith("HTTP/1.1 502 "));
             assertTrue(client.read().startsWith("HTTP/1.1 404 "));
         }
     }
 
     @Test
-    void aBurstOfConnectionsTakesThePlacesOfIdleOnesAndNoMore() throws Exception {
+    void burstOfConnectionsEvictsIdleOnesWithinTheLimit() throws Exception {
         setup.close();
         setup = new Setup().start(Config.parse(
                 Setup.json(discovery.hostPort(), backend.hostPort(), 9, 5000),
-                        Map.of())); // four of them for clients
+                        Map.of())); // four of the sockets are for clients
         CountDownLatch connected = new CountDownLatch(1);
         setup.loop.execute(() -> {
             try {
-                connected.await(20, TimeUnit.SECONDS); // so that all are accepted in one go
+                connected.await(20, TimeUnit.SECONDS); // so that all are accepted in one batch
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -276,57 +277,58 @@
             burst.add(setup.client());
         }
         connected.countDown();
-        for (Peer.Wire w : burst.subList(0, 8)) {
-            assertTrue(w.awaitClose());
+        for (Peer.Wire connection : burst.subList(0, 8)) {
+            assertTrue(connection.awaitClose());
         }
-        for (Peer.Wire w : burst.subList(8, 12)) {
-            w.write("GET /none HTTP/1.1\r\n\r\n");
-            assertTrue(w.read().startsWith("HTTP/1.1 404 "));
-            w.close();
+        for (Peer.Wire connection : burst.subList(8, 12)) {
+            connection.write("GET /none HTTP/1.1\r\n\r\n");
+            assertTrue(connection.read().startsWith("HTTP/1.1 404 "));
+            connection.close();
         }
     }
 
-    /** What a client has sent that is not read yet would turn a close into a reset, answer and all. */
+    /** Closing a socket with unread data would reset the connection and could discard the response. */
     @Test
-    void aConnectionThatEndsIsNotResetUnderWhatItsClientHasJustSent() throws Exception {
+    void closingConnectionIsNotResetByUnreadClientData() throws Exception {
         CompletableFuture<Void> drained;
-        try (Peer.Wire idle = setup.client(); Peer.Wire asking = setup.client()) {
+        try (Peer.Wire idle = setup.client(); Peer.Wire active = setup.client()) {
             idle.write("GET /none HTTP/1.1\r\n\r\n");
             assertTrue(idle.read().startsWith("HTTP/1.1 404 "));
-            asking.write(Setup.get());
-            Request r = setup.awaitRequest();
+            active.write(Setup.get());
+            Request request = setup.awaitRequest();
             drained = setup.proxy.drain();
             setup.runOnLoop(() -> {
                 try {
-                    asking.write(Setup.get()); // on the loop: it comes unread to the end of this connection
+                    active.write(Setup.get()); // on the loop, so that it is unread when the connection closes
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
-                setup.actions.fail(r.ticket());
+                setup.actions.fail(request.ticket());
             });
-            assertTrue(asking.read().contains("connection: close\r\n"));
-            assertTrue(asking.awaitCleanClose() && idle.awaitCleanClose());
+            assertTrue(active.read().contains("connection: close\r\n"));
+            assertTrue(active.awaitCleanClose() && idle.awaitCleanClose());
             for (int i = 0; i < 3; i++) {
-                setup.runOnLoop(() -> { }); // by the next look at the sockets what was closed is gone
+                setup.runOnLoop(() -> { }); // closed sockets are released at the next select
             }
-            for (Peer.Wire w : List.of(asking, idle)) {
-                w.write(Setup.get()).write(Setup.get()); // to a reset connection the second one would fail
+            for (Peer.Wire connection : List.of(active, idle)) {
+                // on a reset connection the second write would fail
+                connection.write(Setup.get()).write(Setup.get());
             }
-            assertTrue(setup.events.stream().noneMatch(t -> t.kind().equals("request")));
+            assertTrue(setup.events.stream().noneMatch(event -> event.kind().equals("request")));
         }
         drained.get(20, TimeUnit.SECONDS);
     }
 
-    /** The process ends with the drain, and what it leaves behind may be reset. */
+    /** The process exits after the drain, which may reset connections with unread responses. */
     @Test
-    void aDrainLastsUntilItsAnswersAreRead() throws Exception {
+    void drainLastsUntilItsResponsesAreRead() throws Exception {
         CompletableFuture<Void> drained;
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get());
-            Request r = setup.awaitRequest();
+            Request request = setup.awaitRequest();
             setup.clock.freeze();
             drained = setup.proxy.drain();
-            setup.runOnLoop(() -> setup.actions.fail(r.ticket()));
+            setup.runOnLoop(() -> setup.actions.fail(request.ticket()));
             assertTrue(client.read().startsWith("HTTP/1.1 502 "));
             CompletableFuture<Void> stillOpen = drained;
             assertThrows(TimeoutException.class, () -> stillOpen.get(1, TimeUnit.SECONDS));
@@ -335,7 +337,7 @@
     }
 
     @Test
-    void aDrainAnswersWhatCameBeforeAndAfterItAndEnds() throws Exception {
+    void drainAnswersEarlierAndLaterRequestsAndCompletes() throws Exception {
         try (Peer.Wire idle = setup.client(); Peer.Wire before = setup.client()) {
             before.write(Setup.get());
             Request first = setup.awaitRequest();
@@ -356,56 +358,57 @@
     }
 
     /**
-     * The process stands still while requests come, one of them on a connection that is not accepted yet.
-     * Counted from their reading they would be answered after their clients' time by as much.
+     * Two requests arrive while the event loop is stalled, one of them on a connection that is not accepted
+     * yet. If their timeouts ran from the read, they would be answered too late by the length of the stall.
      */
     @Test
-    void theTimeOfARequestRunsWhileTheProcessStandsStill() throws Exception {
-        long stall = 800_000_000L;
-        try (Peer.Wire old = setup.client()) {
-            old.write("GET /_health HTTP/1.1\r\nHost: api\r\n\r\n");
-            old.read(); // it is accepted, and the clock has begun to beat
-            CountDownLatch still = new CountDownLatch(1);
-            CountDownLatch goOn = new CountDownLatch(1);
+    void timeoutOfARequestRunsDuringAStall() throws Exception {
+        long stallNs = 800_000_000L;
+        try (Peer.Wire accepted = setup.client()) {
+            accepted.write("GET /_health HTTP/1.1\r\nHost: api\r\n\r\n");
+            accepted.read(); // the connection is accepted, and the heartbeat is running
+            CountDownLatch stalled = new CountDownLatch(1);
+            CountDownLatch resume = new CountDownLatch(1);
             setup.loop.execute(() -> {
-                still.countDown();
+                stalled.countDown();
                 try {
-                    goOn.await();
+                    resume.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
             });
-            still.await();
-            try (Peer.Wire anew = setup.client()) {
-                old.write(Setup.get());
-                anew.write(Setup.get());
-                setup.clock.advance(stall);
-                goOn.countDown();
+            stalled.await();
+            try (Peer.Wire unaccepted = setup.client()) {
+                accepted.write(Setup.get());
+                unaccepted.write(Setup.get());
+                setup.clock.advance(stallNs);
+                resume.countDown();
                 for (int i = 0; i < 2; i++) {
-                    long left = setup.awaitRequest().leftNs();
-                    assertTrue(left > 0 && left <= TimeUnit.SECONDS.toNanos(30) - stall, left + " ns left");
+                    long remainingNs = setup.awaitRequest().leftNs();
+                    assertTrue(remainingNs > 0 && remainingNs <= TimeUnit.SECONDS.toNanos(30) - stallNs,
+                            remainingNs + " ns left");
                 }
             }
         }
     }
 
-    /** Waits until the loop has beaten at the time that the test's clock shows. */
-    private void awaitBeat() throws Exception {
+    /** Waits for a heartbeat of the loop at the current time of the test's clock. */
+    private void awaitHeartbeat() throws Exception {
         setup.loop.schedule(() -> { }, 2 * LoopLag.HEARTBEAT_INTERVAL_NS, TimeUnit.NANOSECONDS)
                 .get(20, TimeUnit.SECONDS);
     }
 
-    /** An answer that is awaited up to the last moment is lost if the next stall begins before that. */
+    /** A request that waits for a response until its last moment is lost if another stall begins before. */
     @ParameterizedTest
     @CsvSource({"0.8, 30, 0.31", "0.8, 0.4, 0.1", "0.4, 30, 0.01"})
-    void afterALongStallTheModuleHasToEndARequestBeforeItsTime(double stallS, double timeoutS, double marginS)
+    void afterALongStallTheModuleDeadlineIsEarlier(double stallS, double timeoutS, double marginS)
             throws Exception {
         try (Peer.Wire client = setup.client()) {
             setup.clock.freeze();
-            awaitBeat();
+            awaitHeartbeat();
             setup.clock.advance((long) (stallS * 1e9));
-            awaitBeat();
-            setup.clock.advance(LoopLag.HEARTBEAT_INTERVAL_NS); // what comes now has come behind the stall
+            awaitHeartbeat();
+            setup.clock.advance(LoopLag.HEARTBEAT_INTERVAL_NS); // later requests did not arrive in the stall
 
             client.write(Setup.get("Request-Timeout: " + timeoutS + "\r\n"));
 
--- a/src/test/java/dewstage/proxy/LoopLagTest.java
+++ b/src/test/java/dewstage/proxy/LoopLagTest.java
@@ -5,60 +5,62 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When a request counts as come, and which stall is to be reckoned with. */
+/** The assumed arrival time of a request, and the stall to allow for. */
 class LoopLagTest {
-    private static final long START = 1_000_000_000_000L, STALL = 600_000_000L;
+    private static final long START = 1_000_000_000_000L, STALL_NS = 600_000_000L;
     private final LoopLag lag = new LoopLag();
 
     @Test
-    void whatIsReadInTimeCountsFromItsReading() {
-        assertEquals(START, lag.earliestArrival(START)); // no beat yet: nothing is known of a stall
+    void withoutAStallTheArrivalIsTheTimeOfTheRead() {
+        assertEquals(START, lag.earliestArrival(START)); // no heartbeat yet, so no stall is known
         lag.heartbeat(START);
-        long late = START + 2 * LoopLag.HEARTBEAT_INTERVAL_NS;
-        assertEquals(late, lag.earliestArrival(late));
-        lag.heartbeat(late);
-        assertEquals(late + 1, lag.earliestArrival(late + 1));
+        long laterHeartbeatAt = START + 2 * LoopLag.HEARTBEAT_INTERVAL_NS;
+        assertEquals(laterHeartbeatAt, lag.earliestArrival(laterHeartbeatAt));
+        lag.heartbeat(laterHeartbeatAt);
+        assertEquals(laterHeartbeatAt + 1, lag.earliestArrival(laterHeartbeatAt + 1));
     }
 
     @Test
-    void whatIsReadAfterAStallCountsFromItsStart() {
+    void afterAStallTheArrivalIsTheStartOfTheStall() {
         lag.heartbeat(START);
-        assertEquals(START, lag.earliestArrival(START + STALL)); // read before the beat that is due
-        lag.heartbeat(START + STALL);
-        // accepted first, read after
-        assertEquals(START, lag.earliestArrival(START + STALL + LoopLag.HEARTBEAT_INTERVAL_NS - 1));
-        long over = START + STALL + LoopLag.HEARTBEAT_INTERVAL_NS;
-        assertEquals(over, lag.earliestArrival(over));
+        assertEquals(START, lag.earliestArrival(START + STALL_NS)); // read before the overdue heartbeat
+        lag.heartbeat(START + STALL_NS);
+        // connections are accepted first and read later
+        assertEquals(START, lag.earliestArrival(START + STALL_NS + LoopLag.HEARTBEAT_INTERVAL_NS - 1));
+        long stallEffectEndsAt = START + STALL_NS + LoopLag.HEARTBEAT_INTERVAL_NS;
+        assertEquals(stallEffectEndsAt, lag.earliestArrival(stallEffectEndsAt));
     }
 
     @Test
-    void aStallBehindAnotherCountsFromItsOwnStart() {
+    void secondStallCountsFromItsOwnStart() {
         lag.heartbeat(START);
-        lag.heartbeat(START + STALL);
-        assertEquals(START + STALL, lag.earliestArrival(START + 2 * STALL));
+        lag.heartbeat(START + STALL_NS);
+        assertEquals(START + STALL_NS, lag.earliestArrival(START + 2 * STALL_NS));
     }
 
     @Test
-    void withNoStallThereIsNoneToReckonWith() {
+    void withoutAStallNoneIsExpected() {
         lag.heartbeat(START);
         lag.heartbeat(START + LoopLag.HEARTBEAT_INTERVAL_NS);
         assertEquals(0, lag.expectedStallNs(START + 2 * LoopLag.HEARTBEAT_INTERVAL_NS));
     }
 
     @Test
-    void theLongestStallIsReckonedWithAndForgottenOverTime() {
+    void longestStallIsExpectedAndDecaysOverTime() {
         lag.heartbeat(START);
-        long end = START + STALL;
-        assertEquals(STALL, lag.expectedStallNs(end)); // also before the beat that is due
-        lag.heartbeat(end);
-        assertEquals(STALL, lag.expectedStallNs(end));
-        long next = end + STALL / 2;
-        lag.heartbeat(next); // a shorter one does not hide the longer one
-        assertTrue(lag.expectedStallNs(next) > 0.9 * STALL, lag.expectedStallNs(next) + " ns");
+        long stallEndsAt = START + STALL_NS;
+        assertEquals(STALL_NS, lag.expectedStallNs(stallEndsAt)); // also before the overdue heartbeat
+        lag.heartbeat(stallEndsAt);
+        assertEquals(STALL_NS, lag.expectedStallNs(stallEndsAt));
+        long nextEnd = stallEndsAt + STALL_NS / 2;
+        lag.heartbeat(nextEnd); // a shorter stall does not replace a longer one
+        assertTrue(lag.expectedStallNs(nextEnd) > 0.9 * STALL_NS, lag.expectedStallNs(nextEnd) + " ns");
 
-        for (long beat = next; beat <= end + LoopLag.STALL_DECAY_NS; beat += LoopLag.HEARTBEAT_INTERVAL_NS) {
-            lag.heartbeat(beat);
+        for (long heartbeatAt = nextEnd; heartbeatAt <= stallEndsAt + LoopLag.STALL_DECAY_NS;
+                heartbeatAt += LoopLag.HEARTBEAT_INTERVAL_NS) {
+            lag.heartbeat(heartbeatAt);
         }
-        assertEquals(STALL / Math.E, lag.expectedStallNs(end + LoopLag.STALL_DECAY_NS), 0.05 * STALL);
+        assertEquals(STALL_NS / Math.E, lag.expectedStallNs(stallEndsAt + LoopLag.STALL_DECAY_NS),
+                0.05 * STALL_NS);
     }
 }
--- a/src/test/java/dewstage/proxy/LoopbackTest.java
+++ b/src/test/java/dewstage/proxy/LoopbackTest.java
@@ -4,7 +4,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
 
-/** A proxy between a scripted discovery and a scripted backend, which its known list names. */
+/** Base of tests with a proxy between a scripted discovery and the one scripted backend in its list. */
 @Timeout(60)
 abstract class LoopbackTest {
     Peer discovery;
@@ -13,7 +13,7 @@
     int server;
 
     @BeforeEach
-    void start() throws Exception {
+    void startProxy() throws Exception {
         discovery = new Peer();
         backend = new Peer();
         setup = new Setup().start(Setup.config(discovery, backend));
@@ -21,7 +21,7 @@
     }
 
     @AfterEach
-    void stop() throws Exception {
+    void stopProxy() throws Exception {
         setup.close();
         discovery.close();
         backend.close();
--- a/src/test/java/dewstage/proxy/NonPollingIoHandlerTest.java
+++ b/src/test/java/dewstage/proxy/NonPollingIoHandlerTest.java
@@ -22,21 +22,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The event loop blocks until its next timer is due, and never polls for it. */
+/** The event loop blocks until its next timer is due instead of polling for it. */
 class NonPollingIoHandlerTest {
     private static final int TIMERS = 40;
-    /** Never whole milliseconds, on either side of the half at which the library rounds up or down. */
+    /** Not whole milliseconds; the fraction varies across the half at which Netty rounds up or down. */
     private static final long PERIOD_US = 5_330;
-    /** One round that blocks, one that runs the timer, and one more where the selector returned early. */
-    private static final int ROUNDS_FOR_A_TIMER = 3;
+    /** One iteration that blocks, one that runs the timer, and one more if the selector returns early. */
+    private static final int MAX_ITERATIONS_PER_TIMER = 3;
 
-    /** Remembers the delay that it is given, as any handler would ask for it. */
-    private static final class AskingHandler implements IoHandler {
-        private long delay;
+    /** Records the delay that the context returns. */
+    private static final class DelayRecordingHandler implements IoHandler {
+        private long delayNs;
 
         @Override
         public int run(IoHandlerContext context) {
-            delay = context.delayNanos(0);
+            delayNs = context.delayNanos(0);
             return 0;
         }
 
@@ -54,8 +54,8 @@
         }
     }
 
-    /** An event loop's context whose next timer is due in so long. */
-    private record DueIn(long delay) implements IoHandlerContext {
+    /** The context of an event loop whose next timer is due in the given time. */
+    private record TimerDueIn(long delayNs) implements IoHandlerContext {
         @Override
         public boolean canBlock() {
             return true;
@@ -63,48 +63,49 @@
 
         @Override
         public long delayNanos(long now) {
-            return delay;
+            return delayNs;
         }
 
         @Override
         public long deadlineNanos() {
-            return delay;
+            return delayNs;
         }
     }
 
     @ParameterizedTest
     @CsvSource({"1, 1000000", "499999, 1000000", "500000, 1000000", "1000000, 1000000", "1000001, 2000000",
         "49400000, 50000000", "0, 0", "-5, -5", "9223372036854775807, 9223372036854775807"})
-    void theDelayUntilATimerIsRoundedUpToWholeMilliseconds(long due, long delay) {
-        AskingHandler asking = new AskingHandler();
-        IoHandler handler = NonPollingIoHandler.wrap(executor -> asking).newHandler(null);
+    void delayUntilATimerIsRoundedUpToMilliseconds(long dueNs, long delayNs) {
+        DelayRecordingHandler recordingHandler = new DelayRecordingHandler();
+        IoHandler handler = NonPollingIoHandler.wrap(executor -> recordingHandler).newHandler(null);
 
-        handler.run(new DueIn(due));
+        handler.run(new TimerDueIn(dueNs));
 
-        assertEquals(delay, asking.delay);
+        assertEquals(delayNs, recordingHandler.delayNs);
     }
 
     @Test
-    void aLoopWithTimersAloneRunsFewRounds() throws Exception {
-        AtomicInteger rounds = new AtomicInteger();
-        IoHandlerFactory counting = NioIoHandler.newFactory(SelectorProvider.provider(), () -> {
-            SelectStrategy usual = DefaultSelectStrategyFactory.INSTANCE.newSelectStrategy();
+    void loopWithOnlyTimersRunsFewIterations() throws Exception {
+        AtomicInteger iterations = new AtomicInteger();
+        IoHandlerFactory countingFactory = NioIoHandler.newFactory(SelectorProvider.provider(), () -> {
+            SelectStrategy defaultStrategy = DefaultSelectStrategyFactory.INSTANCE.newSelectStrategy();
             return (ready, hasTasks) -> {
-                rounds.incrementAndGet();
-                return usual.calculateStrategy(ready, hasTasks);
+                iterations.incrementAndGet();
+                return defaultStrategy.calculateStrategy(ready, hasTasks);
             };
         });
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NonPollingIoHandler.wrap(counting));
+        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NonPollingIoHandler.wrap(countingFactory));
         try {
             EventLoop loop = group.next();
             CountDownLatch fired = new CountDownLatch(TIMERS);
-            loop.submit(() -> rounds.set(0)).get();
+            loop.submit(() -> iterations.set(0)).get();
             loop.scheduleAtFixedRate(fired::countDown, PERIOD_US, PERIOD_US, TimeUnit.MICROSECONDS);
 
             assertTrue(fired.await(30, TimeUnit.SECONDS));
 
-            int run = rounds.get();
-            assertTrue(run <= ROUNDS_FOR_A_TIMER * TIMERS, run + " rounds for " + TIMERS + " timers");
+            int iterationsRun = iterations.get();
+            assertTrue(iterationsRun <= MAX_ITERATIONS_PER_TIMER * TIMERS,
+                    iterationsRun + " iterations for " + TIMERS + " timers");
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
         }
--- a/src/test/java/dewstage/proxy/Peer.java
+++ b/src/test/java/dewstage/proxy/Peer.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A scripted peer on loopback: every connection that it accepts is handed to the test, in order. */
+/** A scripted server on loopback that passes every accepted connection to the test, in order. */
 final class Peer implements AutoCloseable {
-    private static final int PATIENCE_S = 20;
+    private static final int TIMEOUT_S = 20;
     private final ServerSocket server;
     private final BlockingQueue<Wire> accepted = new LinkedBlockingQueue<>();
     private final Thread acceptor;
@@ -23,7 +23,7 @@
         this(0);
     }
 
-    /** At a port where one stood before: it has come back. */
+    /** Listens on the port of an earlier peer, as a server that returns. */
     Peer(int port) throws IOException {
         server = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
         acceptor = new Thread(() -> {
@@ -32,7 +32,7 @@
                     accepted.add(new Wire(server.accept()));
                 }
             } catch (IOException e) {
-                // closed: the test is over
+                // the peer is closed
             }
         });
         acceptor.setDaemon(true);
@@ -47,21 +47,21 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** The next connection. */
+    /** Waits for the next connection. */
     Wire accept() throws InterruptedException {
-        Wire w = accepted.poll(PATIENCE_S, TimeUnit.SECONDS);
-        if (w == null) {
-            throw new AssertionError("no connection came");
+        Wire connection = accepted.poll(TIMEOUT_S, TimeUnit.SECONDS);
+        if (connection == null) {
+            throw new AssertionError("no connection was accepted");
         }
-        return w;
+        return connection;
     }
 
-    /** True if no connection has been accepted that the test has not taken. */
+    /** Whether the test has received all accepted connections. */
     boolean hasNoPendingConnection() {
         return accepted.isEmpty();
     }
 
-    /** From now on connections are refused: until its thread is gone one could still be accepted. */
+    /** Stops listening; waits for the acceptor thread, which could otherwise accept another connection. */
     @Override
     public void close() throws IOException {
         server.close();
@@ -72,14 +72,14 @@
         }
     }
 
-    /** One end of a connection, with plain blocking reads and writes. */
+    /** One end of a connection, with blocking reads and writes. */
     static final class Wire implements AutoCloseable {
         private final Socket socket;
         private final InputStream in;
 
         Wire(Socket socket) throws IOException {
             this.socket = socket;
-            socket.setSoTimeout(PATIENCE_S * 1000);
+            socket.setSoTimeout(TIMEOUT_S * 1000);
             this.in = socket.getInputStream();
         }
 
@@ -92,28 +92,27 @@
             return this;
         }
 
-        /** Is there something to read? */
         boolean hasInput() throws IOException {
             return in.available() > 0;
         }
 
-        /** Reads one message, headers and as much of a body as Content-Length says; "" at the end. */
+        /** Reads one message, its head and a body of Content-Length bytes; at the end returns what it has. */
         String read() throws IOException {
             ByteArrayOutputStream head = new ByteArrayOutputStream();
             while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
-                int b = in.read();
-                if (b < 0) {
+                int nextByte = in.read();
+                if (nextByte < 0) {
                     return head.toString(StandardCharsets.ISO_8859_1);
                 }
-                head.write(b);
+                head.write(nextByte);
             }
-            String text = head.toString(StandardCharsets.ISO_8859_1);
-            int length = text.toLowerCase().lines().filter(l -> l.startsWith("content-length:"))
+            String headText = head.toString(StandardCharsets.ISO_8859_1);
+            int contentLength = headText.toLowerCase().lines().filter(l -> l.startsWith("content-length:"))
                     .mapToInt(l -> Integer.parseInt(l.substring(15).trim())).findFirst().orElse(0);
-            return text + new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
+            return headText + new String(in.readNBytes(contentLength), StandardCharsets.ISO_8859_1);
         }
 
-        /** True once the other side has closed; a reset is an end as well. */
+        /** Waits for input; returns true if it is a close or a reset by the other side. */
         boolean awaitClose() {
             try {
                 return in.read() < 0;
@@ -122,17 +121,17 @@
             }
         }
 
-        /** True once the other side has ended its sending in good order: not by a reset. */
+        /** Like {@link #awaitClose}, but fails on a reset. */
         boolean awaitCleanClose() throws IOException {
             return in.read() < 0;
         }
 
-        /** Sends no more, and goes on reading. */
+        /** Closes the sending side only. */
         void halfClose() throws IOException {
             socket.shutdownOutput();
         }
 
-        /** Ends the connection with a reset, as a process that dies does. */
+        /** Closes the connection with a reset, as when its process is killed. */
         void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
--- a/src/test/java/dewstage/proxy/ReadyInTimeTest.java
+++ b/src/test/java/dewstage/proxy/ReadyInTimeTest.java
@@ -18,15 +18,16 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Nine in ten restarted processes have to be ready within 10 s. What a start waits for of its own accord is
- * the rehearsal and, with discovery away, the known list: half of that time, the rest is for the runtime.
+ * Nine in ten restarted processes must be ready within 10 s. The start itself waits for the rehearsal and, if
+ * discovery is unavailable, before serving on the configured list. These waits may take half of that time;
+ * the rest is for the runtime.
  */
 @Timeout(60)
 class ReadyInTimeTest {
-    private static final long READY_MS = 10_000;
+    private static final long MAX_START_MS = 10_000;
 
     @Test
-    void withDiscoveryAwayAProxyIsReadyOnceTheListWaitIsOver() throws Exception {
+    void withoutDiscoveryTheProxyIsReadyAfterTheDiscoveryWait() throws Exception {
         MockTicker ticker = Ticker.newMockTicker();
         ManualIoEventLoop loop =
                 new ManualIoEventLoop(null, Thread.currentThread(), NioIoHandler.newFactory(), ticker);
@@ -58,18 +59,18 @@
                 loop.runNow();
             }
         }
-        long waitsMs = Proxy.MAX_REHEARSAL_MS + Proxy.DISCOVERY_WAIT_MS;
-        assertTrue(waitsMs <= READY_MS / 2, "own waits of " + waitsMs + " ms");
+        long totalWaitMs = Proxy.MAX_REHEARSAL_MS + Proxy.DISCOVERY_WAIT_MS;
+        assertTrue(totalWaitMs <= MAX_START_MS / 2, "the start may wait for " + totalWaitMs + " ms");
     }
 
-    /** Nothing is answered in it, so that only its time ends it. */
+    /** No request of the rehearsal is answered, so only the time limit ends it. */
     @Test
-    void aRehearsalThatComesToNothingEndsWithItsTime() throws Exception {
+    void rehearsalWithoutResponsesEndsAfterItsTimeLimit() throws Exception {
         try (Peer discovery = new Peer(); Peer backend = new Peer()) {
-            Balancer.Factory silent = (settings, seed, now, out) -> (Balancer)
+            Balancer.Factory unresponsiveFactory = (settings, seed, now, out) -> (Balancer)
                     java.lang.reflect.Proxy.newProxyInstance(Balancer.class.getClassLoader(),
                             new Class<?>[] {Balancer.class}, (proxy, method, args) -> null);
-            assertEquals(0, Rehearsal.run(Setup.config(discovery, backend), silent, 150, 50));
+            assertEquals(0, Rehearsal.run(Setup.config(discovery, backend), unresponsiveFactory, 150, 50));
         }
     }
 }
--- a/src/test/java/dewstage/proxy/ServeTest.java
+++ b/src/test/java/dewstage/proxy/ServeTest.java
@@ -26,104 +26,106 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as a process, with the signals that it gets in service. */
+/** The program as a process: signals, reloads and what it loads. */
 @Timeout(120)
 class ServeTest {
     @TempDir
     Path folder;
 
-    private void write(String text) throws Exception {
-        Path next = Files.writeString(folder.resolve("next.json"), text);
-        Files.move(next, folder.resolve("config.json"), StandardCopyOption.ATOMIC_MOVE);
+    private void writeConfig(String text) throws Exception {
+        Path temporary = Files.writeString(folder.resolve("next.json"), text);
+        Files.move(temporary, folder.resolve("config.json"), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    private void write(Peer discovery, Peer backend) throws Exception {
-        write(Setup.json(discovery.hostPort(), backend.hostPort(), 1024, 5000).toString());
+    private void writeConfig(Peer discovery, Peer backend) throws Exception {
+        writeConfig(Setup.json(discovery.hostPort(), backend.hostPort(), 1024, 5000).toString());
     }
 
-    /** Starts the program. */
-    private Process serve(Peer discovery, String option) throws Exception {
-        ProcessBuilder java = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java")
-                .toString(), option, "-cp", System.getProperty("java.class.path"), "dewstage.Main", "serve");
+    private Process serve(Peer discovery, String jvmOption) throws Exception {
+        ProcessBuilder java = new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                jvmOption, "-cp", System.getProperty("java.class.path"), "dewstage.Main", "serve");
         java.environment().putAll(Map.of("NODE_CONFIG", folder.resolve("config.json").toString(),
                 "NODE_DISCOVERY", discovery.hostPort()));
         return java.start();
     }
 
-    private static void signal(Process p, String name) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, String.valueOf(p.pid())).start().waitFor());
+    private static void signal(Process process, String name) throws Exception {
+        assertEquals(0,
+                new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor());
     }
 
-    /** Reads the log until a line holds the text. */
-    private static String said(BufferedReader log, String text) throws Exception {
+    /** Reads the log up to a line that contains the text, and returns the line. */
+    private static String awaitLogLine(BufferedReader log, String text) throws Exception {
         String line = log.readLine();
         while (line != null && !line.contains(text)) {
             line = log.readLine();
         }
-        assertTrue(line != null, "the process ended without saying: " + text);
+        assertTrue(line != null, "the process ended without logging: " + text);
         return line;
     }
 
     @Test
-    void newConfigurationsMoveTheWatchABadOneChangesNothingAndSigtermStillEndsWell() throws Exception {
+    void sighupMovesTheWatchAnInvalidConfigurationIsIgnoredAndSigtermDrains() throws Exception {
         try (Peer first = new Peer(); Peer second = new Peer(); Peer third = new Peer();
                 Peer backend = new Peer()) {
-            write(first, backend);
-            Process p = serve(first, "-Xlog:disable");
-            try (BufferedReader log = p.errorReader()) {
+            writeConfig(first, backend);
+            Process process = serve(first, "-Xlog:disable");
+            try (BufferedReader log = process.errorReader()) {
                 assertTrue(first.accept().read().contains("index=41 "));
-                write(second, backend);
-                signal(p, "HUP");
-                Peer.Wire watch = second.accept(); // the file wins over the environment of the start
+                writeConfig(second, backend);
+                signal(process, "HUP");
+                Peer.Wire watch = second.accept(); // the file overrides NODE_DISCOVERY
                 assertTrue(watch.read().contains("index=41 "));
-                write("{\"listen\":");
-                signal(p, "HUP");
-                said(log, "is not used");
-                write(third, backend);
-                signal(p, "HUP");
+                writeConfig("{\"listen\":");
+                signal(process, "HUP");
+                awaitLogLine(log, "is not used");
+                writeConfig(third, backend);
+                signal(process, "HUP");
                 assertTrue(third.accept().read().contains("index=41 "));
                 assertTrue(watch.awaitClose());
-                signal(p, "TERM");
-                said(log, "drained");
-                assertTrue(p.waitFor(20, TimeUnit.SECONDS));
-                assertEquals(0, p.exitValue());
+                signal(process, "TERM");
+                awaitLogLine(log, "drained");
+                assertTrue(process.waitFor(20, TimeUnit.SECONDS));
+                assertEquals(0, process.exitValue());
             } finally {
-                p.destroyForcibly();
+                process.destroyForcibly();
             }
         }
     }
 
     @Test
-    void aSigtermWhileTheProxyStartsFindsItDrainedAllTheSame() throws Exception {
+    void sigtermDuringStartDrainsTheProxy() throws Exception {
         try (Peer discovery = new Peer(); Peer backend = new Peer()) {
-            write(discovery, backend);
-            ProcessBuilder java = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java")
-                    .toString(), "-cp", System.getProperty("java.class.path"), Held.class.getName());
+            writeConfig(discovery, backend);
+            ProcessBuilder java = new ProcessBuilder(
+                    Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                    "-cp", System.getProperty("java.class.path"), ProxyBlockedAtStart.class.getName());
             java.environment().put("NODE_CONFIG", folder.resolve("config.json").toString());
-            Process p = java.start();
-            try (BufferedReader log = p.errorReader()) {
-                said(log, "held");
-                signal(p, "TERM");
-                p.getOutputStream().write('\n');
-                p.getOutputStream().flush();
-                said(log, "drained");
-                assertTrue(p.waitFor(20, TimeUnit.SECONDS));
-                assertEquals(0, p.exitValue());
+            Process process = java.start();
+            try (BufferedReader log = process.errorReader()) {
+                awaitLogLine(log, "blocked");
+                signal(process, "TERM");
+                process.getOutputStream().write('\n');
+                process.getOutputStream().flush();
+                awaitLogLine(log, "drained");
+                assertTrue(process.waitFor(20, TimeUnit.SECONDS));
+                assertEquals(0, process.exitValue());
             } finally {
-                p.destroyForcibly();
+                process.destroyForcibly();
             }
         }
     }
 
-    /** The program, held up in its start, behind the rehearsal, until a line comes. */
-    static final class Held {
-        private Held() { }
+    /** The program, blocked in its start after the rehearsal until it reads a line. */
+    static final class ProxyBlockedAtStart {
+        private ProxyBlockedAtStart() { }
 
         public static void main(String[] args) throws Exception {
-            AtomicInteger made = new AtomicInteger();
+            AtomicInteger balancersCreated = new AtomicInteger();
             Proxy.run(System.getenv(), (settings, seed, now, out) -> {
-                if (made.incrementAndGet() == 2) {
-                    System.err.println("held");
+                if (balancersCreated.incrementAndGet() == 2) {
+                    System.err.println("blocked");
                     try {
                         System.in.read();
                     } catch (IOException e) {
@@ -135,19 +137,19 @@
         }
     }
 
-    /** On half a core each of these costs a start a tenth of a second or more, and none is of use there. */
+    /** Loading each of these classes prolongs the start by a tenth of a second or more on half a core. */
     @Test
-    void aStartLoadsNothingOfWhatItHasNoUseFor() throws Exception {
+    void startDoesNotLoadUnneededClasses() throws Exception {
         Path loaded = folder.resolve("loaded.txt");
         try (Peer discovery = new Peer(); Peer backend = new Peer()) {
-            write(discovery, backend);
-            Process p = serve(discovery, "-Xlog:class+load:file=" + loaded);
-            try (BufferedReader log = p.errorReader()) {
+            writeConfig(discovery, backend);
+            Process process = serve(discovery, "-Xlog:class+load:file=" + loaded);
+            try (BufferedReader log = process.errorReader()) {
                 discovery.accept(); // the rehearsal is over
-                String served = said(log, "requests of a rehearsal").split(" ")[2];
-                assertTrue(Integer.parseInt(served) <= 150, "longer than a start needs: " + served);
+                String served = awaitLogLine(log, "requests of a rehearsal").split(" ")[2];
+                assertTrue(Integer.parseInt(served) <= 150, "more requests than a start needs: " + served);
             } finally {
-                p.destroyForcibly().waitFor();
+                process.destroyForcibly().waitFor();
             }
             String classes = Files.readString(loaded);
             assertTrue(classes.contains(" dewstage.proxy.Rehearsal "), "nothing was rehearsed");
@@ -158,50 +160,51 @@
         }
     }
 
-    /** Time zones come from a file, and a proxy may have no descriptor left when a library has to warn. */
+    /** Loading time zones opens a file, and the process may have no descriptor left when a library logs. */
     @Test
-    void whatALibraryLogsNeedsNoTimeZones() throws Exception {
+    void libraryLogDoesNotLoadTimeZones() throws Exception {
         Path loaded = folder.resolve("loaded.txt");
-        Process p = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+        Process process = new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Xlog:class+load:file=" + loaded, "-cp", System.getProperty("java.class.path"),
-                Warning.class.getName()).start();
-        try (BufferedReader log = p.errorReader()) {
-            assertTrue(log.readLine().contains(" WARNING odd: java.lang.IllegalStateException: why at "));
-            assertTrue(p.waitFor(20, TimeUnit.SECONDS));
+                LibraryWarning.class.getName()).start();
+        try (BufferedReader log = process.errorReader()) {
+            assertTrue(log.readLine().contains(" WARNING message: java.lang.IllegalStateException: why at "));
+            assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         } finally {
-            p.destroyForcibly();
+            process.destroyForcibly();
         }
         assertFalse(Files.readString(loaded).contains("java.time.zone.TzdbZoneRulesProvider "));
     }
 
     /** A program that logs a warning as a library does. */
-    static final class Warning {
-        private Warning() { }
+    static final class LibraryWarning {
+        private LibraryWarning() { }
 
         public static void main(String[] args) {
             LibraryLog.install();
-            Logger.getLogger("library").log(Level.WARNING, "odd", new IllegalStateException("why"));
+            Logger.getLogger("library").log(Level.WARNING, "message", new IllegalStateException("why"));
         }
     }
 
     @Test
-    void theModuleKeepsItsListAndNothingIsToldTwiceWhenTheAddressIsTheSame() throws Exception {
-        try (Peer discovery = new Peer(); Peer elsewhere = new Peer(); Peer backend = new Peer();
+    void reloadKeepsTheListAndAnUnchangedAddressKeepsTheWatch() throws Exception {
+        try (Peer discovery = new Peer(); Peer newDiscovery = new Peer(); Peer backend = new Peer();
                 Setup setup = new Setup().start(Setup.config(discovery, backend))) {
             setup.backendId();
             discovery.accept().read();
             setup.runOnLoop(() -> reload(setup, discovery, backend));
-            setup.runOnLoop(() -> reload(setup, elsewhere, backend));
-            assertTrue(elsewhere.accept().read().contains("index=41 "));
+            setup.runOnLoop(() -> reload(setup, newDiscovery, backend));
+            assertTrue(newDiscovery.accept().read().contains("index=41 "));
             assertTrue(discovery.hasNoPendingConnection());
             assertTrue(setup.events.stream().noneMatch(t -> t.kind().equals("members")));
         }
     }
 
-    /** Where the list is asked for, nobody calls until the module says so: not so at a new address. */
+    /** With discovery on request only the module starts calls, except after a change of the address. */
     @Test
-    void aNewAddressIsCalledAtOnceAlsoWhileNoWatchIsOpen() throws Exception {
-        try (Peer discovery = new Peer(); Peer elsewhere = new Peer(); Peer backend = new Peer()) {
+    void newDiscoveryAddressIsCalledImmediatelyWithoutAnOpenWatch() throws Exception {
+        try (Peer discovery = new Peer(); Peer newDiscovery = new Peer(); Peer backend = new Peer()) {
             JsonNode root = Setup.json(discovery.hostPort(), backend.hostPort(), 1024, 5000);
             ((ObjectNode) root.path("settings")).put("discovery", "on_request");
             ((ObjectNode) root.at("/settings/rules")).put("ask_within_ns", 10_000_000_000L);
@@ -210,18 +213,18 @@
                 setup.runOnLoop(() -> setup.actions.subscribe(true));
                 discovery.accept().close();
                 while (setup.awaitEvent("kind", ListKind.class) != ListKind.FAILED) {
-                    continue; // the watch is lost, and the module pauses
+                    continue; // until the watch is lost and the module waits before the next call
                 }
-                setup.runOnLoop(() -> reload(setup, elsewhere, backend));
-                Peer.Wire watch = elsewhere.accept();
+                setup.runOnLoop(() -> reload(setup, newDiscovery, backend));
+                Peer.Wire watch = newDiscovery.accept();
                 assertTrue(watch.read().contains("index=41 "));
-                setup.runOnLoop(() -> setup.actions.subscribe(true)); // the pause is over: this call stands
+                setup.runOnLoop(() -> setup.actions.subscribe(true)); // keeps the open call
                 watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + "2d\r\n{\"generation\":42,\"reset\":true,\"instances\":[]}\r\n");
                 List<?> changes = setup.awaitEvent("members", List.class);
-                assertEquals(1, changes.size(), "the list names nobody: who was known is gone");
+                assertEquals(1, changes.size(), "an empty list: the known member is gone");
                 assertEquals(State.GONE, ((Member) changes.get(0)).state());
-                assertTrue(elsewhere.hasNoPendingConnection());
+                assertTrue(newDiscovery.hasNoPendingConnection());
             }
         }
     }
--- a/src/test/java/dewstage/proxy/Setup.java
+++ b/src/test/java/dewstage/proxy/Setup.java
@@ -16,9 +16,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A configuration, and a proxy whose module is the test: it sees each event and takes actions by hand. */
+/** A proxy whose decision module is the test, which receives each event and performs the actions itself. */
 final class Setup implements AutoCloseable {
-    private static final String CONFIG = """
+    private static final String CONFIG_FORMAT = """
         {"listen":"127.0.0.1:0","discovery":"%s","seed":"8c1f30d27a5be964",
          "limits":{"cores":1.0,"memory_mb":192,"sockets":%d},
          "known":{"generation":41,"reset":true,"instances":[
@@ -37,28 +37,27 @@
            "drain_grace_ns":500000000}}}
         """;
 
-    private static final AtomicInteger IDS = new AtomicInteger();
+    private static final AtomicInteger LAST_REQUEST_ID = new AtomicInteger();
 
-    /** A clock that the test can stop and push on. */
+    /** A clock that a test can freeze and advance. */
     static final class ManualClock extends Clock {
-        private volatile long stopped;
+        private volatile long frozenAt;
 
         @Override
         long now() {
-            return stopped == 0 ? super.now() : stopped;
+            return frozenAt == 0 ? super.now() : frozenAt;
         }
 
-        /** Stands still from now on. */
         void freeze() {
-            stopped = now();
+            frozenAt = now();
         }
 
         void advance(long ns) {
-            stopped = now() + ns;
+            frozenAt = now() + ns;
         }
     }
 
-    /** What the module was told. */
+    /** An event that the module received. */
     record ModuleEvent(String kind, Object event) { }
 
     final EventLoop loop = Proxy.newLoop();
@@ -66,13 +65,13 @@
     final ManualClock clock = new ManualClock();
     Proxy proxy;
     Balancer.Actions actions;
-    /** What the module does when it is told of a request, before the test hears of it. */
+    /** Runs in the module's onRequest, before the event is passed to the test. */
     volatile Runnable onRequest = () -> { };
-    private boolean nested;
+    private boolean inAction;
 
     static JsonNode json(String discovery, String backend, int sockets, long connectTimeoutMs) {
         try {
-            return new ObjectMapper().readTree(CONFIG.formatted(discovery, sockets, backend,
+            return new ObjectMapper().readTree(CONFIG_FORMAT.formatted(discovery, sockets, backend,
                     connectTimeoutMs * 1_000_000));
         } catch (IOException e) {
             throw new AssertionError(e);
@@ -84,15 +83,15 @@
     }
 
     Setup start(Config config) throws IOException {
-        proxy = Proxy.start(config, loop, (settings, seed, now, out) -> {
-            actions = out;
-            return new Module();
-        }, clock, confirmed());
+        proxy = Proxy.start(config, loop, (settings, seed, now, moduleActions) -> {
+            actions = moduleActions;
+            return new TestModule();
+        }, clock, confirmedFreshness());
         return this;
     }
 
-    /** The known list counts as confirmed for an hour: discovery need not answer. */
-    private static ListFreshness confirmed() {
+    /** Treats the configured list as confirmed for an hour, so that discovery need not respond. */
+    private static ListFreshness confirmedFreshness() {
         ListFreshness freshness = new ListFreshness(TimeUnit.HOURS.toNanos(1), 0);
         freshness.confirmed(System.nanoTime());
         return freshness;
@@ -102,7 +101,7 @@
         return Peer.Wire.to(proxy.address());
     }
 
-    /** Runs an action of the module, as it would from an event. */
+    /** Runs an action on the event loop, as the module would. */
     void runOnLoop(Runnable action) throws Exception {
         loop.submit(action).get(20, TimeUnit.SECONDS);
     }
@@ -111,14 +110,14 @@
         return events.poll(20, TimeUnit.SECONDS);
     }
 
-    /** Waits for the next event of a kind; others are passed over. */
+    /** Waits for the next event of a kind, discarding others. */
     <T> T awaitEvent(String kind, Class<T> type) throws InterruptedException {
-        for (ModuleEvent e = pollEvent(); e != null; e = pollEvent()) {
-            if (e.kind().equals(kind)) {
-                return type.cast(e.event());
+        for (ModuleEvent moduleEvent = pollEvent(); moduleEvent != null; moduleEvent = pollEvent()) {
+            if (moduleEvent.kind().equals(kind)) {
+                return type.cast(moduleEvent.event());
             }
         }
-        throw new AssertionError("the module was not told: " + kind);
+        throw new AssertionError("the module received no event of kind " + kind);
     }
 
     Request awaitRequest() throws InterruptedException {
@@ -129,15 +128,15 @@
         return awaitEvent("outcome", Outcome.class);
     }
 
-    /** The one backend of the known list. */
+    /** Waits for the member list and returns the id of its only server. */
     int backendId() throws InterruptedException {
         return ((Member) awaitEvent("members", List.class).get(0)).id();
     }
 
-    /** A request with an id of its own. */
+    /** Returns a request with a unique id. */
     static String get(String headers) {
-        return "GET /look/1?x=2 HTTP/1.1\r\nHost: api\r\nRequest-Id: r" + IDS.incrementAndGet() + "\r\n"
-                + headers + "\r\n";
+        return "GET /look/1?x=2 HTTP/1.1\r\nHost: api\r\nRequest-Id: r" + LAST_REQUEST_ID.incrementAndGet()
+                + "\r\n" + headers + "\r\n";
     }
 
     static String get() {
@@ -149,26 +148,26 @@
         loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    private final class Module implements Balancer {
-        private void note(String eventKind, Object event) {
-            if (nested) {
-                throw new AssertionError("the module was called from inside its own action");
+    private final class TestModule implements Balancer {
+        private void addEvent(String eventKind, Object event) {
+            if (inAction) {
+                throw new AssertionError("the module was called from within its own action");
             }
             events.add(new ModuleEvent(eventKind, event));
         }
 
         @Override
         public void onMembers(long now, ListKind kind, long version, List<Member> members) {
-            note("members", members);
-            note("kind", kind);
+            addEvent("members", members);
+            addEvent("kind", kind);
         }
 
         @Override
         public void onRequest(long now, Request request) {
-            nested = true;
+            inAction = true;
             onRequest.run();
-            nested = false;
-            note("request", request);
+            inAction = false;
+            addEvent("request", request);
         }
 
         @Override
@@ -176,17 +175,17 @@
 
         @Override
         public void onOutcome(long now, Outcome outcome) {
-            note("outcome", outcome);
+            addEvent("outcome", outcome);
         }
 
         @Override
         public void onWithdrawn(long now, int ticket) {
-            note("withdrawn", ticket);
+            addEvent("withdrawn", ticket);
         }
 
         @Override
         public void onTimer(long now, long token) {
-            note("timer", token);
+            addEvent("timer", token);
         }
     }
 }
