--- a/src/main/java/dewstage/proxy/Backends.java
+++ b/src/main/java/dewstage/proxy/Backends.java
@@ -47,7 +47,7 @@
     static final int MAX_BODY_BYTES = 64 << 10;
     /** Maximum number of interim (1xx) responses before a final response. */
     private static final int MAX_INTERIM_RESPONSES = 8;
-    /** Maximum plausible utilization in a load report; a fully busy server reports one. */
+    /** Maximum plausible utilization in a load report; a fully busy server reports 1. */
     private static final double MAX_UTILIZATION = 100;
     /** Maximum plausible value of every other field of a load report. */
     private static final double MAX_REPORTED_COUNT = 1e6;
@@ -419,7 +419,7 @@
 
         void start(Attempt attempt) {
             attempt.connection = this;
-            // The backend may have started draining or left while the connection was being established.
+            // The backend may have started draining or disappeared while the connection was established.
             if (backend.outOfServiceSince != 0 && clock.now() - backend.outOfServiceSince > drainGraceNs) {
                 channel.close();
                 loop.execute(() -> attempt.complete(Status.MOOT, null, null));
@@ -490,7 +490,7 @@
             hasTrailingBytes = true;
         }
 
-        /** Completes the attempt only now that all bytes read with the response have been decoded. */
+        /** Completes the attempt only after all bytes read with the response have been decoded. */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
             if (responseComplete && current != null) {
--- a/src/main/java/dewstage/proxy/ClientConnection.java
+++ b/src/main/java/dewstage/proxy/ClientConnection.java
@@ -24,8 +24,8 @@
 import java.util.Deque;
 
 /**
- * A client's connection. Requests are handled one at a time and a few pipelined ones are queued. A malformed
- * request, or too many queued ones, are answered by an error that closes the connection.
+ * A client's connection. Requests are handled one at a time and pipelined ones are queued, up to a limit.
+ * After a malformed request, or beyond that limit, an error response is sent and the connection is closed.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
     /** Receives complete requests and is notified of responses and of the close. */
@@ -238,7 +238,7 @@
         }
     }
 
-    /** Starts the next request only now that all received ones are queued and counted. */
+    /** Starts the next request only after all received requests have been queued and counted. */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (!closing && decoder.inRequest()) {
--- a/src/main/java/dewstage/proxy/Proxy.java
+++ b/src/main/java/dewstage/proxy/Proxy.java
@@ -606,7 +606,7 @@
     }
 
     @Override
-    public void tell(int peer, byte[] request) {
+    public void tell(int peer, byte[] message) {
         throw new UnsupportedOperationException("this proxy does not communicate with peers");
     }
 
--- a/src/main/java/dewstage/proxy/RequestDecoder.java
+++ b/src/main/java/dewstage/proxy/RequestDecoder.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * Decodes requests, and nothing after a malformed one: where that ends, and whether a smuggled request
- * follows, is unknown. Netty itself rejects a request with both Content-Length and Transfer-Encoding.
+ * Decodes requests, and nothing after a malformed one: its end is unknown, so bytes after it could be a
+ * smuggled request. Netty itself rejects a request with both Content-Length and Transfer-Encoding.
  */
 final class RequestDecoder extends HttpRequestDecoder {
     private static final int MAX_LINE_BYTES = 4096;
--- a/src/test/java/dewstage/proxy/BackendsTest.java
+++ b/src/test/java/dewstage/proxy/BackendsTest.java
@@ -87,12 +87,12 @@
         "HTTP/1.1 200 OK|Content-Length: 9||half", "HTTP/1.1 200 OK|Transfer-Encoding: chunked||4|half|",
         "HTTP/1.1 200 OK||whole until the end?", "HTTP/1.1 200 OK|Content-Le", "rubbish|",
         "HTTP/1.1 200 OK|Content-Length: x||"})
-    void incompleteResponseIsAResetAndIsNotServed(String answer) throws Exception {
+    void incompleteResponseIsAResetAndIsNotServed(String response) throws Exception {
         try (Peer.Wire client = setup.client()) {
             Request request = sendRequest(client);
             Peer.Wire connection = backend.accept();
             connection.read();
-            connection.write(answer.replace("|", "\r\n")).close();
+            connection.write(response.replace("|", "\r\n")).close();
             Outcome outcome = setup.awaitOutcome();
             assertEquals(Status.RESET, outcome.status());
             assertFalse(outcome.over());
@@ -114,12 +114,12 @@
         "HTTP/1.1 200 OK|Transfer-Encoding: chunked||5|abcde|zz|abcde|0||", "HTTP/1.1 200 OK||body",
         "HTTP/1.1 200 OK|Content-Length: 4||body and the rest of it",
         "HTTP/1.1 101 Switching Protocols||", "noise"})
-    void malformedResponseIsAnImmediateResetAndClosesTheConnection(String answer) throws Exception {
+    void malformedResponseIsAnImmediateResetAndClosesTheConnection(String response) throws Exception {
         try (Peer.Wire client = setup.client()) {
             Request request = sendRequest(client);
             Peer.Wire connection = backend.accept();
             connection.read();
-            connection.write(answer.replace("|", "\r\n"));
+            connection.write(response.replace("|", "\r\n"));
             Outcome outcome = setup.awaitOutcome();
             assertEquals(Status.RESET, outcome.status());
             assertFalse(outcome.over());
@@ -313,9 +313,9 @@
             assertEquals(Status.CANCELLED, setup.awaitOutcome().status());
             assertTrue(connection.awaitClose());
             setup.runOnLoop(() -> setup.actions.refuse(request.ticket(), 1_200_000_000L));
-            String answer = client.read();
-            assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
-            assertTrue(answer.contains("Retry-After: 1.200000\r\n"), answer);
+            String response = client.read();
+            assertTrue(response.startsWith("HTTP/1.1 503 "), response);
+            assertTrue(response.contains("Retry-After: 1.200000\r\n"), response);
             assertTrue(setup.events.stream().noneMatch(t -> t.kind().equals("outcome")));
         }
     }
@@ -363,7 +363,7 @@
         for (int id : servers) {
             CompletableFuture<Status> completion = new CompletableFuture<>();
             setup.runOnLoop(() -> backends.send(id, request, 20_000_000_000L, () -> true,
-                    (attempt, status, report, answer) -> completion.complete(status)));
+                    (attempt, status, report, response) -> completion.complete(status)));
             Peer.Wire connection = backend.accept();
             connection.read();
             connection.write(OK);
--- a/src/test/java/dewstage/proxy/DescriptorsTest.java
+++ b/src/test/java/dewstage/proxy/DescriptorsTest.java
@@ -234,7 +234,7 @@
             });
             commands.setDaemon(true);
             commands.start();
-            Proxy.run(System.getenv(), (settings, seed, now, out) -> new SendOnceBalancer(out));
+            Proxy.run(System.getenv(), (settings, seed, now, actions) -> new SendOnceBalancer(actions));
         }
 
         private static List<FileInputStream> openAll(List<FileInputStream> descriptors) {
@@ -249,9 +249,9 @@
     }
 
     /** A module that sends each request once, to the last server of its latest list. */
-    private record SendOnceBalancer(Actions out, int[] server) implements Balancer {
-        SendOnceBalancer(Actions out) {
-            this(out, new int[1]);
+    private record SendOnceBalancer(Actions actions, int[] server) implements Balancer {
+        SendOnceBalancer(Actions actions) {
+            this(actions, new int[1]);
         }
 
         @Override
@@ -261,7 +261,7 @@
 
         @Override
         public void onRequest(long now, Request request) {
-            out.send(request.ticket(), server[0], 0);
+            actions.send(request.ticket(), server[0], 0);
         }
 
         @Override
@@ -270,7 +270,7 @@
         @Override
         public void onOutcome(long now, Outcome outcome) {
             if (!outcome.over()) {
-                out.fail(outcome.ticket());
+                actions.fail(outcome.ticket());
             }
         }
 
--- a/src/test/java/dewstage/proxy/ReadyInTimeTest.java
+++ b/src/test/java/dewstage/proxy/ReadyInTimeTest.java
@@ -67,7 +67,7 @@
     @Test
     void rehearsalWithoutResponsesEndsAfterItsTimeLimit() throws Exception {
         try (Peer discovery = new Peer(); Peer backend = new Peer()) {
-            Balancer.Factory unresponsiveFactory = (settings, seed, now, out) -> (Balancer)
+            Balancer.Factory unresponsiveFactory = (settings, seed, now, actions) -> (Balancer)
                     java.lang.reflect.Proxy.newProxyInstance(Balancer.class.getClassLoader(),
                             new Class<?>[] {Balancer.class}, (proxy, method, args) -> null);
             assertEquals(0, Rehearsal.run(Setup.config(discovery, backend), unresponsiveFactory, 150, 50));
--- a/src/test/java/dewstage/proxy/ServeTest.java
+++ b/src/test/java/dewstage/proxy/ServeTest.java
@@ -123,7 +123,7 @@
 
         public static void main(String[] args) throws Exception {
             AtomicInteger balancersCreated = new AtomicInteger();
-            Proxy.run(System.getenv(), (settings, seed, now, out) -> {
+            Proxy.run(System.getenv(), (settings, seed, now, actions) -> {
                 if (balancersCreated.incrementAndGet() == 2) {
                     System.err.println("blocked");
                     try {
@@ -132,7 +132,7 @@
                         throw new UncheckedIOException(e);
                     }
                 }
-                return new Policy(settings, seed, now, out);
+                return new Policy(settings, seed, now, actions);
             });
         }
     }
