--- a/src/test/java/dewstage/proxy/BackendsTest.java
+++ b/src/test/java/dewstage/proxy/BackendsTest.java
@@ -367,7 +367,7 @@
             Peer.Wire connection = backend.accept();
             connection.read();
             connection.write(OK);
-            assertEquals(Status.OK, completion.request(20, TimeUnit.SECONDS));
+            assertEquals(Status.OK, completion.get(20, TimeUnit.SECONDS));
             connections.add(connection);
         }
         return connections;
