--- a/src/main/java/dewstage/proxy/Backends.java
+++ b/src/main/java/dewstage/proxy/Backends.java
@@ -94,7 +94,7 @@
         /** The most recently used last. */
         final Deque<Connection> idle = new ArrayDeque<>(2);
 
-        Backend(Discovery.Listed l) {
+        Backend(Discovery.ListedBackend l) {
             this.id = l.member().id();
             this.address = l.address();
             this.bootNs = l.member().bootNs();
@@ -108,14 +108,14 @@
     private final long connectTimeoutNs;
     private final long keepAliveNs;
     private final long drainGraceNs;
-    private final IntFunction<Discovery.Listed> listed;
+    private final IntFunction<Discovery.ListedBackend> listed;
     private final IntMap<Backend> inUse = new IntMap<>();
     /** Connections that are idle, the one idle longest first: they come in at its end as they become so. */
     private final Set<Connection> idle = new LinkedHashSet<>();
 
     /** By the number of a backend, listed tells what is listed now; null if it is not. */
     Backends(EventLoop loop, Clock clock, Sockets.Share sockets, Config config, Transport transport,
-            IntFunction<Discovery.Listed> listed) {
+            IntFunction<Discovery.ListedBackend> listed) {
         this.listed = listed;
         this.transport = transport;
         this.loop = loop;
@@ -133,7 +133,7 @@
     /** Hears what changes. A first list finds nothing in use, and later ones name whoever is gone. */
     void apply(Discovery.ListUpdate listUpdate) {
         long now = clock.now();
-        for (Discovery.Listed l : listUpdate.list()) {
+        for (Discovery.ListedBackend l : listUpdate.entries()) {
             State state = l.member().state();
             Backend b = inUse.get(l.member().id());
             if (b == null && state == State.DRAINING) {
@@ -146,7 +146,7 @@
         }
     }
 
-    private void apply(Backend b, Discovery.Listed l, State state, long now) {
+    private void apply(Backend b, Discovery.ListedBackend l, State state, long now) {
         InetSocketAddress address = l.address();
         boolean moved = address != null && !address.equals(b.address);
         if (moved || l.member().bootNs() > b.bootNs) {
@@ -266,7 +266,7 @@
     /** What is kept of a backend, from its first attempt on; null if it is not listed. */
     private Backend use(int server) {
         Backend b = inUse.get(server);
-        Discovery.Listed l = b == null ? listed.apply(server) : null;
+        Discovery.ListedBackend l = b == null ? listed.apply(server) : null;
         if (l != null) {
             b = new Backend(l);
             inUse.put(server, b);
--- a/src/main/java/dewstage/proxy/Proxy.java
+++ b/src/main/java/dewstage/proxy/Proxy.java
@@ -136,9 +136,9 @@
         this.loop = loop;
         Sockets sockets = new Sockets(config.sockets());
         this.frontend = new Frontend(config, clock, lag, sockets.clients, this);
-        this.discovery = new Discovery(loop, config, this, Discovery.SILENCE_MS, Membership.usualRoom(),
-                freshness);
-        this.backends = new Backends(loop, clock, sockets.backends, config, transport, discovery::listed);
+        this.discovery = new Discovery(loop, config, this, Discovery.STALL_TIMEOUT_MS,
+                Membership.defaultMaxBytes(), freshness);
+        this.backends = new Backends(loop, clock, sockets.backends, config, transport, discovery::find);
         this.balancer = factory.create(config.settings(), config.seed(), clock.now(), this);
     }
 
@@ -153,11 +153,11 @@
         Reload reload = new Reload(() -> Config.reread(environment),
                 config -> started.thenAccept(p -> p.loop.execute(() -> p.reload(config))));
         Runnable reloadOnceStarted = () -> started.thenRun(reload::run);
-        if (Signals.ignored(Signals.SIGHUP)) {
+        if (Signals.isIgnored(Signals.SIGHUP)) {
             Log.line("SIGHUP is ignored since the start: the configuration file is looked at every "
-                    + ConfigFileWatch.LOOK_MS + " ms instead");
+                    + ConfigFileWatch.POLL_INTERVAL_MS + " ms instead");
             ConfigFileWatch.start(environment.get("NODE_CONFIG"), reloadOnceStarted);
-        } else if (!Signals.on("HUP", reloadOnceStarted)) {
+        } else if (!Signals.installHandler("HUP", reloadOnceStarted)) {
             Log.line("this runtime cannot hear SIGHUP: the configuration is read at the start only");
         }
         LibraryLog.install();
@@ -236,16 +236,16 @@
     }
 
     private void begin() {
-        Discovery.ListUpdate known = discovery.known();
+        Discovery.ListUpdate known = discovery.readKnownList();
         if (known != null) {
-            discovery.startFrom(known.version());
+            discovery.resumeFrom(known.version());
             apply(known);
         }
         if (!config.settings().askForList()) {
-            discovery.watch(true);
+            discovery.setWatching(true);
         }
         loop.schedule(() -> {
-            if (known != null && !known.list().isEmpty()) {
+            if (known != null && !known.entries().isEmpty()) {
                 if (!listed) {
                     Log.line("no list from discovery after " + LIST_WAIT_MS
                             + " ms: serving on the known one, version " + known.version());
@@ -271,7 +271,7 @@
      */
     void reload(Config config) {
         Log.line("a new configuration: discovery is at " + config.discovery());
-        discovery.move(config.discovery());
+        discovery.changeAddress(config.discovery());
     }
 
     /** Answers what has been taken and what still comes; the future is done once all is answered. */
@@ -340,7 +340,7 @@
     }
 
     @Override
-    public void onBrokenList(Discovery.ListUpdate leaving) {
+    public void onTruncatedList(Discovery.ListUpdate leaving) {
         apply(leaving);
     }
 
@@ -363,7 +363,7 @@
     }
 
     @Override
-    public void failed() {
+    public void onWatchFailed() {
         enqueue(0, now -> balancer.onMembers(now, ListKind.FAILED, 0, List.of()));
     }
 
@@ -530,7 +530,7 @@
 
     private void logAttempt(Exchange x, int number, int server) {
         Log.line("attempt " + number + " of request " + x.message.headers().get("Request-Id") + " to server "
-                + discovery.name(server) + ", list version " + discovery.version() + ", confirmed "
+                + discovery.idOf(server) + ", list version " + discovery.version() + ", confirmed "
                 + listAge());
     }
 
@@ -583,7 +583,7 @@
     @Override
     public void subscribe(boolean on) {
         if (watches) {
-            discovery.watch(on);
+            discovery.setWatching(on);
         }
     }
 
--- a/src/main/java/dewstage/scale/Hollows.java
+++ b/src/main/java/dewstage/scale/Hollows.java
@@ -187,7 +187,7 @@
         }
 
         @Override
-        public void inForce(ListKind kind, long version, List<Member> members) {
+        public void onListApplied(ListKind kind, long version, List<Member> members) {
             long now = System.nanoTime();
             if (sends != null) {
                 sends.listReceived(members);
@@ -196,19 +196,19 @@
         }
 
         @Override
-        public void sent(int server) {
+        public void onAttemptSent(int server) {
             if (sends != null) {
                 sends.add(server, System.nanoTime());
             }
         }
 
         @Override
-        public void turnedAway() {
+        public void onRequestRejected() {
             turnedAway.incrementAndGet();
         }
 
         @Override
-        public void broken(RuntimeException e) {
+        public void onModuleFailure(RuntimeException e) {
             broken.incrementAndGet();
         }
     }
--- a/src/test/java/dewstage/proxy/BackendsTest.java
+++ b/src/test/java/dewstage/proxy/BackendsTest.java
@@ -377,8 +377,8 @@
                 config, Backends.tcp(setup.loop), n -> listed(n, State.READY))).get();
     }
 
-    private Discovery.Listed listed(int number, State state) {
-        return new Discovery.Listed(new Member(number, 0, state, 0, 0, 0, 1), backend.address());
+    private Discovery.ListedBackend listed(int number, State state) {
+        return new Discovery.ListedBackend(new Member(number, 0, state, 0, 0, 0, 1), backend.address());
     }
 
     private int inUse(Backends backends) throws Exception {
@@ -389,13 +389,14 @@
     @Test
     void ofBackendsThatAreListedAndNotInUseNothingIsKept() throws Exception {
         Backends backends = backends(1024);
-        List<Discovery.Listed> list = IntStream.range(0, 1000).mapToObj(n -> listed(n, State.READY)).toList();
+        List<Discovery.ListedBackend> list =
+                IntStream.range(0, 1000).mapToObj(n -> listed(n, State.READY)).toList();
         setup.act(() -> backends.apply(new Discovery.ListUpdate(ListKind.FULL, 1, list)));
         assertEquals(0, inUse(backends));
         setup.clock.stop();
         List<Peer.Wire> wires = served(backends, 3, 4, 5);
         assertEquals(3, inUse(backends));
-        List<Discovery.Listed> change = List.of(listed(4, State.GONE));
+        List<Discovery.ListedBackend> change = List.of(listed(4, State.GONE));
         setup.act(() -> backends.apply(new Discovery.ListUpdate(ListKind.DELTA, 2, change)));
         assertTrue(wires.get(1).ended(), "idle at one that is gone");
         assertEquals(2, inUse(backends));
@@ -423,7 +424,7 @@
         Member drains = new Member(server, 0, State.DRAINING, 0, 3, 0, 1);
         setup.clock.stop();
         setup.act(() -> setup.proxy.onListUpdate(new Discovery.ListUpdate(ListKind.DELTA, 42,
-                List.of(new Discovery.Listed(drains, backend.address())))));
+                List.of(new Discovery.ListedBackend(drains, backend.address())))));
         setup.clock.pass(500_000_001L); // the grace, and more
         try (Peer.Wire client = setup.client()) {
             sent(client);
--- a/src/test/java/dewstage/proxy/DescriptorsTest.java
+++ b/src/test/java/dewstage/proxy/DescriptorsTest.java
@@ -182,7 +182,7 @@
                 Peer.Wire watch = discovery.accept();
                 watch.read();
                 watch.write(WATCH + Integer.toHexString(SAME_LIST.length()) + "\r\n" + SAME_LIST + "\r\n");
-                said(log, "brought DELTA");
+                said(log, "received DELTA");
                 try (Peer.Wire client = Peer.Wire.to(new InetSocketAddress("127.0.0.1", listen))) {
                     client.write("GET /none HTTP/1.1\r\n\r\n");
                     assertTrue(client.read().startsWith("HTTP/1.1 404 ")); // it has its place
