--- a/src/main/java/dewstage/proxy/Discovery.java
+++ b/src/main/java/dewstage/proxy/Discovery.java
@@ -25,23 +25,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Keeps a watch on discovery and turns what it says into list events. A watch that ends, falls silent or says
- * what cannot be read is opened again from the last version; the old list stands meanwhile.
+ * Keeps a watch on the discovery service and turns its lists into updates. A watch that ends, stalls or
+ * delivers an invalid list is reopened from the last version; the current list stays in force meanwhile.
  */
 final class Discovery implements DiscoveryWatch.Owner {
-    /** A backend as listed, and where this proxy reaches it; the socket address is made when asked for. */
-    static class Listed {
+    /** A backend as listed, with its address. The socket address is created on request to save memory. */
+    static class ListedBackend {
         private final Member member;
-        /** The IP address, of version 4 as a number, else its bytes; the port, or -1 for no address. */
-        private final int ip;
-        private final byte[] longIp;
+        /** An IPv4 address; 0 if {@code ipv6} is set. */
+        private final int ipv4;
+        private final byte[] ipv6;
+        /** -1 if the backend has no address. */
         private final int port;
 
-        Listed(Member member, InetSocketAddress address) {
+        ListedBackend(Member member, InetSocketAddress address) {
             this.member = member;
             byte[] bytes = address == null ? new byte[4] : address.getAddress().getAddress();
-            this.ip = bytes.length == 4 ? ByteBuffer.wrap(bytes).getInt() : 0;
-            this.longIp = bytes.length == 4 ? null : bytes;
+            this.ipv4 = bytes.length == 4 ? ByteBuffer.wrap(bytes).getInt() : 0;
+            this.ipv6 = bytes.length == 4 ? null : bytes;
             this.port = address == null ? -1 : address.getPort();
         }
 
@@ -49,200 +50,211 @@
             return member;
         }
 
-        /** Null if it has none, which only one that is gone may. */
+        /** Returns null if there is no address, which is allowed only for a backend that is gone. */
         final InetSocketAddress address() {
             if (port < 0) {
                 return null;
             }
             try {
                 return new InetSocketAddress(InetAddress.getByAddress(
-                        longIp == null ? ByteBuffer.allocate(4).putInt(ip).array() : longIp), port);
+                        ipv6 == null ? ByteBuffer.allocate(4).putInt(ipv4).array() : ipv6), port);
             } catch (UnknownHostException e) {
-                throw new AssertionError("not of this length", e);
+                throw new AssertionError("IP address of invalid length", e);
             }
         }
 
-        final boolean same(Listed other) {
-            return ip == other.ip && port == other.port && Arrays.equals(longIp, other.longIp)
+        final boolean isSameAs(ListedBackend other) {
+            return ipv4 == other.ipv4 && port == other.port && Arrays.equals(ipv6, other.ipv6)
                     && member.equals(other.member);
         }
     }
 
-    /** One piece of news, in order: after the first list only what differs from the ones before. */
-    record ListUpdate(ListKind kind, long version, List<Listed> list) {
-        /** What the module hears of it: a view, since a list may be long. */
+    /** One change of the member list. After the first list it holds only the entries that differ. */
+    record ListUpdate(ListKind kind, long version, List<ListedBackend> entries) {
+        /** The members for the decision module, as a view because a list may be long. */
         List<Member> members() {
             return new AbstractList<>() {
                 @Override
                 public Member get(int i) {
-                    return list.get(i).member();
+                    return entries.get(i).member();
                 }
 
                 @Override
                 public int size() {
-                    return list.size();
+                    return entries.size();
                 }
             };
         }
     }
 
-    /** Who hears of it: news, or that the watch failed. */
+    /** Receives list updates and failures of the watch. */
     interface Listener {
         void onListUpdate(ListUpdate listUpdate);
 
-        /** Part of a list that has broken off: servers that leave. It confirms nothing. */
-        default void onBrokenList(ListUpdate leaving) {
+        /** Called with the leaving servers of a truncated list. It does not confirm the current list. */
+        default void onTruncatedList(ListUpdate leaving) {
             onListUpdate(leaving);
         }
 
-        void failed();
+        void onWatchFailed();
     }
 
     /**
-     * One and a half beats of 2 s. What is not heard counts as told 6 s after the last beat all the same, and
-     * by then all proxies must have called again, in turn, and been answered.
+     * One and a half heartbeat intervals of 2 s. A change counts as delivered 6 s after the last heartbeat
+     * even if it never arrived, and by then all proxies must have called again and been answered in turn.
      */
-    static final long SILENCE_MS = 3000;
-    /** While a call waits, so often a look whether discovery is there; it is not after so many in a row. */
-    private static final long LOOK_MS = 2000;
-    private static final int MOST_FAILED_LOOKS = 2;
-    private static final long FIRST_PAUSE_MS = 100, LONGEST_PAUSE_MS = 1600;
-    /** A list that is too large is so again at the next call, and costs all that is sent of it. */
-    static final long FIRST_REFUSAL_MS = 1000, LONGEST_REFUSAL_MS = 64_000;
+    static final long STALL_TIMEOUT_MS = 3000;
+    /** Interval at which discovery is checked for accepting connections while a call waits. */
+    private static final long LIVENESS_CHECK_MS = 2000;
+    private static final int MAX_FAILED_LIVENESS_CHECKS = 2;
+    private static final long MIN_RETRY_PAUSE_MS = 100;
+    private static final long MAX_RETRY_PAUSE_MS = 1600;
+    /** Pause after a list that is too large: the next call would receive and discard the same list again. */
+    static final long MIN_TOO_LARGE_PAUSE_MS = 1000;
+    static final long MAX_TOO_LARGE_PAUSE_MS = 64_000;
 
     private final EventLoop loop;
     private final Config config;
     private final Listener listener;
-    private final long silenceMs;
-    private final long room;
+    private final long stallTimeoutMs;
+    private final long maxListBytes;
     private final Membership membership;
     private final ListFreshness freshness;
     private final CallPatience patience = new CallPatience();
     private final SplittableRandom random;
     private InetSocketAddress address;
     private long version = -1;
-    private long pauseMs = FIRST_PAUSE_MS;
-    private long refusalMs;
-    /** The end of the pause behind a list that is too large, by nanoTime. */
-    private long notBefore = System.nanoTime();
-    private boolean wanted;
-    /** The watch whose lists count, and the call that is to take its place; null if there is none. */
+    private long retryPauseMs = MIN_RETRY_PAUSE_MS;
+    private long tooLargePauseMs;
+    /** Earliest time of the next call, by nanoTime. */
+    private long nextCallAtNs = System.nanoTime();
+    private boolean isWatchWanted;
+    /** The answered watch, whose lists are applied; null if there is none. */
     private DiscoveryWatch watch;
+    /** The call that replaces the watch once it is answered; null if there is none. */
     private DiscoveryWatch call;
-    private ScheduledFuture<?> retry;
-    /** While a call waits: when it is given up, and the next look for a sign of life. */
-    private ScheduledFuture<?> waitEnd;
-    private ScheduledFuture<?> look;
-    private int calls;
-    private int failedLooks;
-    /** Calls in a row that did not connect. */
-    private int unconnected;
-    /** When a list or a beat last came, by nanoTime; 0 if none ever did. */
-    private long confirmedAt;
+    private ScheduledFuture<?> retryTimer;
+    /** Gives up the waiting call. */
+    private ScheduledFuture<?> callTimer;
+    /** Starts the next liveness check while a call waits. */
+    private ScheduledFuture<?> livenessTimer;
+    private int callCount;
+    private int failedLivenessChecks;
+    /** Consecutive calls that failed to connect. */
+    private int failedConnects;
+    /** When a list or a heartbeat was last received, by nanoTime; 0 if never. */
+    private long confirmedAtNs;
 
     Discovery(EventLoop loop, Config config, Listener listener) {
-        this(loop, config, listener, SILENCE_MS, Membership.usualRoom());
+        this(loop, config, listener, STALL_TIMEOUT_MS, Membership.defaultMaxBytes());
     }
 
-    /** The entries of all that is listed may take so much room, in bytes, and so may the text of one list. */
-    Discovery(EventLoop loop, Config config, Listener listener, long silenceMs, long room) {
-        this(loop, config, listener, silenceMs, room,
+    /**
+     * Creates a discovery client that is not watching yet.
+     *
+     * @param maxListBytes limit of the memory for all listed entries, and of the text of one list
+     */
+    Discovery(EventLoop loop, Config config, Listener listener, long stallTimeoutMs, long maxListBytes) {
+        this(loop, config, listener, stallTimeoutMs, maxListBytes,
                 new ListFreshness(config.drainGraceNs(), config.settings().askWithinNs()));
     }
 
-    /** Tells the freshness what it learns. */
-    Discovery(EventLoop loop, Config config, Listener listener, long silenceMs, long room,
+    /** As above, with the tracker that is notified of confirmations, refusals and outages. */
+    Discovery(EventLoop loop, Config config, Listener listener, long stallTimeoutMs, long maxListBytes,
             ListFreshness freshness) {
-        this.room = room;
-        this.membership = new Membership(room);
+        this.maxListBytes = maxListBytes;
+        this.membership = new Membership(maxListBytes);
         this.loop = loop;
         this.config = config;
         this.listener = listener;
         this.address = config.discovery();
-        this.silenceMs = silenceMs;
+        this.stallTimeoutMs = stallTimeoutMs;
         this.freshness = freshness;
         this.random = new SplittableRandom(config.seed());
     }
 
-    /** The list that the proxy was started with; null if there is none that can be read. */
-    ListUpdate known() {
-        try (JsonParser parser = config.known().open()) {
+    /** Reads the list in the configuration; returns null if it is missing or invalid. */
+    ListUpdate readKnownList() {
+        try (JsonParser parser = config.knownList().open()) {
             JsonToken first = parser.nextToken();
             if (first != JsonToken.START_OBJECT) {
                 return null;
             }
             ListUpdate listUpdate = read(parser, first);
-            return new ListUpdate(ListKind.CACHED, listUpdate.version(), listUpdate.list());
+            return new ListUpdate(ListKind.CACHED, listUpdate.version(), listUpdate.entries());
         } catch (IOException | IllegalArgumentException e) {
-            Log.line("the known list is not used: " + Json.firstLine(e));
+            Log.line("ignoring the known list of the configuration: " + Json.firstLine(e));
             return null;
         }
     }
 
-    /** Takes in a list from elsewhere; throws IllegalArgumentException if it is none. */
+    /** Applies a list that is not from the watch; throws IllegalArgumentException if it is invalid. */
     ListUpdate read(JsonParser parser) throws IOException {
         return read(parser, parser.nextToken());
     }
 
     private ListUpdate read(JsonParser parser, JsonToken first) throws IOException {
         ListReader reader = new ListReader(membership, config);
-        ListUpdate listUpdate = reader.take(parser, first);
+        ListUpdate listUpdate = reader.accept(parser, first);
         while (listUpdate == null) {
-            JsonToken t = parser.nextToken();
-            if (t == null) {
-                throw new IllegalArgumentException("it has no end");
+            JsonToken token = parser.nextToken();
+            if (token == null) {
+                throw new IllegalArgumentException("unexpected end of the list");
             }
-            listUpdate = reader.take(parser, t);
+            listUpdate = reader.accept(parser, token);
         }
         return listUpdate;
     }
 
-    /** What is listed under a number; null if nothing is. */
-    Listed listed(int number) {
+    /** Returns the backend with this number, or null. */
+    ListedBackend find(int number) {
         return membership.get(number);
     }
 
-    /** The id of what is listed under a number; the number itself if nothing is. */
-    String name(int number) {
+    /** Returns the id of the backend with this number; if it is not listed, the number itself. */
+    String idOf(int number) {
         Membership.Entry entry = membership.get(number);
         return entry == null ? "#" + Integer.toUnsignedString(number) : entry.id;
     }
 
-    /** Opens the watch or closes it. Pushed lists are watched for good; one that is asked for is one call. */
-    void watch(boolean on) {
-        if (on && wanted && (call != null || watch != null && watch.address().equals(address))) {
-            return; // a further call would only go to the end of the line that this one waits in
+    /**
+     * Opens or closes the watch. With pushed lists a watch that ends is reopened; with lists on request it is
+     * not, and the module asks for the next call.
+     */
+    void setWatching(boolean on) {
+        if (on && isWatchWanted && (call != null || watch != null && watch.address().equals(address))) {
+            return; // a new call would go to the end of the queue in which the current one waits
         }
         closeCall("closed by this proxy");
         if (!on) {
             closeWatch("closed by this proxy");
         }
-        wanted = on;
-        long waitNs = notBefore - System.nanoTime();
+        isWatchWanted = on;
+        long waitNs = nextCallAtNs - System.nanoTime();
         if (on && waitNs > 0) {
-            retry = loop.schedule(this::open, waitNs, TimeUnit.NANOSECONDS);
+            retryTimer = loop.schedule(this::openCall, waitNs, TimeUnit.NANOSECONDS);
         } else if (on) {
-            open();
+            openCall();
         }
     }
 
     /**
-     * Discovery is elsewhere now: it is called there at once, from the last version that was heard, also
-     * where the module has a pause before its next call: that is for the old address. The old watch counts
-     * until the new address has answered.
+     * Calls discovery at a new address at once, from the last received version. A pause that the module
+     * requested does not apply, since it was meant for the old address. The old watch stays in use until the
+     * new address answers.
      */
-    void move(InetSocketAddress to) {
-        if (to.equals(address)) {
+    void changeAddress(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        address = to;
-        pauseMs = FIRST_PAUSE_MS;
-        refusalMs = 0;
-        notBefore = System.nanoTime();
+        address = newAddress;
+        retryPauseMs = MIN_RETRY_PAUSE_MS;
+        tooLargePauseMs = 0;
+        nextCallAtNs = System.nanoTime();
         freshness.moved(System.nanoTime());
         closeCall("discovery has moved");
-        wanted = true;
-        open();
+        isWatchWanted = true;
+        openCall();
     }
 
     private void closeWatch(String reason) {
@@ -252,20 +264,20 @@
         }
     }
 
-    /** Ends the call that waits, or the wait for the next. */
+    /** Closes the waiting call and cancels the scheduled one. */
     private void closeCall(String reason) {
         if (call != null) {
             call.close(reason);
-            callIsOver();
+            clearCall();
         }
-        cancel(retry);
-        retry = null;
+        cancel(retryTimer);
+        retryTimer = null;
     }
 
-    private void callIsOver() {
+    private void clearCall() {
         call = null;
-        cancel(waitEnd);
-        cancel(look);
+        cancel(callTimer);
+        cancel(livenessTimer);
     }
 
     private static void cancel(ScheduledFuture<?> timer) {
@@ -274,34 +286,34 @@
         }
     }
 
-    private void open() {
-        retry = null;
-        failedLooks = 0;
-        call = new DiscoveryWatch(loop, this, address, version, silenceMs, room,
-                new ListReader(membership, config), newRecord());
-        waitEnd = loop.schedule(() -> call.giveUp("no answer"), patience.waitNs(), TimeUnit.NANOSECONDS);
-        look = loop.schedule(this::lookForLife, LOOK_MS, TimeUnit.MILLISECONDS);
-        call.open((int) connectMs(config.drainGraceNs()));
+    private void openCall() {
+        retryTimer = null;
+        failedLivenessChecks = 0;
+        call = new DiscoveryWatch(loop, this, address, version, stallTimeoutMs, maxListBytes,
+                new ListReader(membership, config), newCallLog());
+        callTimer = loop.schedule(() -> call.giveUp("no answer"), patience.waitNs(), TimeUnit.NANOSECONDS);
+        livenessTimer = loop.schedule(this::checkLiveness, LIVENESS_CHECK_MS, TimeUnit.MILLISECONDS);
+        call.open((int) connectTimeoutMs(config.drainGraceNs()));
     }
 
-    /** In an outage every call fails to connect: of those in a row the first, second, fourth... count. */
-    private DiscoveryCall newRecord() {
-        boolean logged = Integer.bitCount(unconnected + 1) == 1;
-        return new DiscoveryCall(++calls, address, version, logged);
+    /** In an outage, when every call fails to connect, only the 1st, 2nd, 4th, 8th... in a row is logged. */
+    private DiscoveryCallLog newCallLog() {
+        boolean isLogged = Integer.bitCount(failedConnects + 1) == 1;
+        return new DiscoveryCallLog(++callCount, address, version, isLogged);
     }
 
     /**
-     * A call in a long line looks like one to a machine that has vanished. But a machine that is there
-     * accepts connections, also where discovery has no time for calls.
+     * Opens a connection and closes it again, to distinguish a call that waits in a long queue from one to a
+     * host that has vanished: a live host accepts connections even if discovery is too busy for calls.
      */
-    private void lookForLife() {
+    private void checkLiveness() {
         if (watch != null && watch.address().equals(address)) {
-            look = loop.schedule(this::lookForLife, LOOK_MS, TimeUnit.MILLISECONDS);
-            return; // it speaks, or ends as silent
+            livenessTimer = loop.schedule(this::checkLiveness, LIVENESS_CHECK_MS, TimeUnit.MILLISECONDS);
+            return; // the watch at this address either receives data or ends as stalled
         }
         DiscoveryWatch waiting = call;
         ChannelFuture connect = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) connectMs(config.drainGraceNs()))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) connectTimeoutMs(config.drainGraceNs()))
                 .handler(new ChannelInboundHandlerAdapter()).connect(address);
         boolean noDescriptor = Sockets.noneFor(connect);
         connect.addListener(f -> {
@@ -309,105 +321,108 @@
                 connect.channel().close();
             }
             if (waiting == call) {
-                looked(f.isSuccess() || noDescriptor);
+                onLivenessChecked(f.isSuccess() || noDescriptor);
             }
         });
     }
 
-    private void looked(boolean alive) {
-        failedLooks = alive ? 0 : failedLooks + 1;
-        if (failedLooks >= MOST_FAILED_LOOKS) {
+    private void onLivenessChecked(boolean isAlive) {
+        failedLivenessChecks = isAlive ? 0 : failedLivenessChecks + 1;
+        if (failedLivenessChecks >= MAX_FAILED_LIVENESS_CHECKS) {
             freshness.unreachable(System.nanoTime());
-            call.giveUp("discovery accepts no connections any more");
+            call.giveUp("discovery no longer accepts connections");
         } else {
-            look = loop.schedule(this::lookForLife, alive ? LOOK_MS : FIRST_PAUSE_MS, TimeUnit.MILLISECONDS);
+            livenessTimer = loop.schedule(this::checkLiveness,
+                    isAlive ? LIVENESS_CHECK_MS : MIN_RETRY_PAUSE_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     @Override
-    public void answered(DiscoveryWatch answered) {
-        patience.answered(answered.ageNs());
-        callIsOver();
-        unconnected = 0;
+    public void onAnswered(DiscoveryWatch source) {
+        patience.answered(source.ageNs());
+        clearCall();
+        failedConnects = 0;
         closeWatch("another call is answered");
-        watch = answered;
+        watch = source;
     }
 
     @Override
-    public void alive(DiscoveryWatch alive) {
+    public void onHeartbeat(DiscoveryWatch source) {
         if (version >= 0) {
-            confirm(alive);
+            confirm(source);
         }
     }
 
     @Override
-    public void listed(DiscoveryWatch from, ListUpdate update) {
+    public void onList(DiscoveryWatch source, ListUpdate update) {
         version = update.version();
-        pauseMs = FIRST_PAUSE_MS;
-        confirm(from);
+        retryPauseMs = MIN_RETRY_PAUSE_MS;
+        confirm(source);
         listener.onListUpdate(update);
     }
 
     @Override
-    public void brokenOff(ListUpdate leaving) {
-        Log.line("a list of discovery has broken off; " + leaving.list().size() + " servers that it named as"
-                + " leaving are taken out");
-        listener.onBrokenList(leaving);
+    public void onListTruncated(ListUpdate leaving) {
+        Log.line("a list from discovery was truncated; applying " + leaving.entries().size() + " servers that"
+                + " it named as leaving");
+        listener.onTruncatedList(leaving);
     }
 
-    /** What the old address says after a move is no sign that the list is that of the new one. */
-    private void confirm(DiscoveryWatch by) {
-        if (by.address().equals(address)) {
-            confirmedAt = System.nanoTime();
-            freshness.confirmed(confirmedAt);
+    /** After a move, data from the old address does not confirm the list of the new one. */
+    private void confirm(DiscoveryWatch source) {
+        if (source.address().equals(address)) {
+            confirmedAtNs = System.nanoTime();
+            freshness.confirmed(confirmedAtNs);
         }
     }
 
     @Override
-    public void ended(DiscoveryWatch ended, DiscoveryWatch.End end) {
+    public void onEnded(DiscoveryWatch source, DiscoveryWatch.EndReason reason) {
         long pauseNs = 0;
-        if (ended == call) {
-            pauseNs = callFailed(end);
+        if (source == call) {
+            pauseNs = onCallFailed(reason);
         } else {
             watch = null;
-            if (end == DiscoveryWatch.End.CLOSED_BY_PEER) {
+            if (reason == DiscoveryWatch.EndReason.CLOSED_BY_PEER) {
                 freshness.watchEnded(System.nanoTime());
             }
         }
-        // Doubles until a watch ends otherwise: a list that was taken ahead of the large one proves nothing.
-        refusalMs = end == DiscoveryWatch.End.TOO_LARGE
-                ? Math.max(FIRST_REFUSAL_MS, Math.min(2 * refusalMs, LONGEST_REFUSAL_MS)) : 0;
-        pauseNs = Math.max(pauseNs, TimeUnit.MILLISECONDS.toNanos(refusalMs));
-        notBefore = System.nanoTime() + pauseNs;
-        if (wanted && call == null && retry == null) {
-            callAgain(pauseNs);
+        // Doubles until a watch ends for another reason. A smaller list received on the same watch before the
+        // large one does not reset it.
+        tooLargePauseMs = reason == DiscoveryWatch.EndReason.TOO_LARGE
+                ? Math.max(MIN_TOO_LARGE_PAUSE_MS, Math.min(2 * tooLargePauseMs, MAX_TOO_LARGE_PAUSE_MS)) : 0;
+        pauseNs = Math.max(pauseNs, TimeUnit.MILLISECONDS.toNanos(tooLargePauseMs));
+        nextCallAtNs = System.nanoTime() + pauseNs;
+        if (isWatchWanted && call == null && retryTimer == null) {
+            scheduleCall(pauseNs);
         }
     }
 
-    /** The last call or watch has ended; the next call comes no sooner than after a pause. */
-    private void callAgain(long pauseNs) {
+    /** Schedules the next call after the retry pause, but no sooner than after {@code minPauseNs}. */
+    private void scheduleCall(long minPauseNs) {
         if (config.settings().askForList()) {
-            // Here calls cost, and the module says when to ask again.
-            wanted = false;
-            listener.failed();
+            // Calls are expensive in this mode, so the module decides when to call again.
+            isWatchWanted = false;
+            listener.onWatchFailed();
             return;
         }
-        long usualNs = TimeUnit.MILLISECONDS.toNanos(jittered(pauseMs));
-        retry = loop.schedule(this::open, Math.max(usualNs, pauseNs), TimeUnit.NANOSECONDS);
-        pauseMs = Math.min(2 * pauseMs, longestPauseMs(config.drainGraceNs()));
+        long backoffNs = TimeUnit.MILLISECONDS.toNanos(jittered(retryPauseMs));
+        retryTimer = loop.schedule(this::openCall, Math.max(backoffNs, minPauseNs), TimeUnit.NANOSECONDS);
+        retryPauseMs = Math.min(2 * retryPauseMs, maxRetryPauseMs(config.drainGraceNs()));
     }
 
-    /** Returns for how long discovery must be left alone. */
-    private long callFailed(DiscoveryWatch.End end) {
+    /** Returns the minimum pause before the next call, in ns. */
+    private long onCallFailed(DiscoveryWatch.EndReason reason) {
         long waitedNs = call.ageNs();
         long now = System.nanoTime();
-        callIsOver();
-        unconnected = end == DiscoveryWatch.End.NOT_CONNECTED ? unconnected + 1 : 0;
-        if (end == DiscoveryWatch.End.NOT_CONNECTED) {
+        clearCall();
+        failedConnects = reason == DiscoveryWatch.EndReason.NOT_CONNECTED ? failedConnects + 1 : 0;
+        if (reason == DiscoveryWatch.EndReason.NOT_CONNECTED) {
             freshness.unreachable(now);
-        } else if (end == DiscoveryWatch.End.SILENT) {
+        } else if (reason == DiscoveryWatch.EndReason.STALLED) {
             patience.givenUp();
-        } else if (end == DiscoveryWatch.End.REFUSED || end == DiscoveryWatch.End.CLOSED_BY_PEER) {
+        } else if (reason == DiscoveryWatch.EndReason.REFUSED
+                || reason == DiscoveryWatch.EndReason.CLOSED_BY_PEER) {
             freshness.refused(now);
             patience.refused(waitedNs);
             return CallPatience.waited(waitedNs)
@@ -416,39 +431,39 @@
         return 0;
     }
 
-    /** Between half and all of it, so that those who failed together do not call in step. */
+    /** Random time between half of {@code ms} and all of it, so that proxies do not retry in lockstep. */
     private long jittered(long ms) {
         return ms / 2 + random.nextLong(ms / 2 + 1);
     }
 
     /**
-     * Where lists are pushed, what comes in while discovery could not be reached counts as told at its return
-     * at once: a try that hangs and the pause behind it must leave some of the time that drains have.
+     * Connect timeout for discovery. With pushed lists, changes made while discovery was unreachable count as
+     * delivered as soon as it is back, so a connect that hangs and the pause after it must leave part of the
+     * drain grace.
      */
-    static long connectMs(long drainGraceNs) {
-        return Math.max(FIRST_PAUSE_MS, Math.min(LONGEST_PAUSE_MS, drainGraceNs / 2_000_000));
+    static long connectTimeoutMs(long drainGraceNs) {
+        return Math.max(MIN_RETRY_PAUSE_MS, Math.min(MAX_RETRY_PAUSE_MS, drainGraceNs / 2_000_000));
     }
 
-    static long longestPauseMs(long drainGraceNs) {
-        return connectMs(drainGraceNs) / 2;
+    static long maxRetryPauseMs(long drainGraceNs) {
+        return connectTimeoutMs(drainGraceNs) / 2;
     }
 
-    /** How long ago discovery last showed that the list is current, in ns; -1 if it never did. */
+    /** Time since discovery last confirmed the list, in ns; -1 if it never did. */
     long listAgeNs() {
-        return confirmedAt == 0 ? -1 : System.nanoTime() - confirmedAt;
+        return confirmedAtNs == 0 ? -1 : System.nanoTime() - confirmedAtNs;
     }
 
-    /** The version of the list in force; -1 if there is none. */
+    /** Version of the list in force; -1 if there is none. */
     long version() {
         return version;
     }
 
-    /** How many backends have a number. */
-    int numbered() {
+    int backendCount() {
         return membership.size();
     }
 
-    /** FNV-1a, its bits mixed well. */
+    /** FNV-1a with a final mixing step. */
     static long hash(String text) {
         long h = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
@@ -458,8 +473,8 @@
         return h ^ h >>> 29;
     }
 
-    /** The version that a watch starts after, once the known list has been taken. */
-    void startFrom(long known) {
-        version = known;
+    /** Sets the version after which the first watch asks for changes. */
+    void resumeFrom(long knownVersion) {
+        version = knownVersion;
     }
 }
--- a/src/main/java/dewstage/proxy/DiscoveryCallLog.java
+++ b/src/main/java/dewstage/proxy/DiscoveryCallLog.java
@@ -4,24 +4,24 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 
-/** The record of one call to discovery: what became of it and when, a line in the log for each step. */
-final class DiscoveryCall {
+/** Logs each step of one call to discovery, with the time since the call was opened. */
+final class DiscoveryCallLog {
     private final int id;
-    private final boolean logged;
-    private final long openedAt = System.nanoTime();
-    private boolean answered;
+    private final boolean isLogged;
+    private final long openedAtNs = System.nanoTime();
+    private boolean isAnswered;
     private String reason;
 
     /**
-     * A call that is about to connect.
+     * Logs that a call is about to connect.
      *
-     * @param version what came after that is asked for; -1 for the whole list
-     * @param logged false for a call that will hardly connect, of which nothing need be said
+     * @param version the version after which changes are requested; -1 for the whole list
+     * @param isLogged false suppresses all lines, for a call that is expected to fail
      */
-    DiscoveryCall(int id, InetSocketAddress to, long version, boolean logged) {
+    DiscoveryCallLog(int id, InetSocketAddress address, long version, boolean isLogged) {
         this.id = id;
-        this.logged = logged;
-        log("opened to " + to.getAddress().getHostAddress() + ':' + to.getPort() + " after version "
+        this.isLogged = isLogged;
+        log("opened to " + address.getAddress().getHostAddress() + ':' + address.getPort() + " after version "
                 + version);
     }
 
@@ -30,35 +30,35 @@
     }
 
     void answered(HttpResponseStatus status) {
-        answered = true;
+        isAnswered = true;
         log("answered with " + status.code() + " after " + ageMs() + " ms");
     }
 
-    void list(long from, Discovery.ListUpdate update) {
-        log("brought " + update.kind() + " of " + update.list().size() + " entries, version " + from + " to "
-                + update.version() + ", after " + ageMs() + " ms");
+    void listReceived(long fromVersion, Discovery.ListUpdate update) {
+        log("received " + update.kind() + " of " + update.entries().size() + " entries, version "
+                + fromVersion + " to " + update.version() + ", after " + ageMs() + " ms");
     }
 
-    /** Why it is about to end; the first reason that is given counts. */
-    void reason(String why) {
+    /** Sets the reason for the end of the call; only the first reason is kept. */
+    void setReason(String newReason) {
         if (reason == null) {
-            reason = why;
+            reason = newReason;
         }
     }
 
-    /** It has ended, for a reason of its own if none was given before. */
-    void ended(String otherwise) {
-        reason(otherwise);
-        log("ended after " + ageMs() + " ms, " + (answered ? "answered" : "not answered") + ": " + reason);
+    /** Logs the end of the call, with the given reason unless one was set before. */
+    void ended(String defaultReason) {
+        setReason(defaultReason);
+        log("ended after " + ageMs() + " ms, " + (isAnswered ? "answered" : "not answered") + ": " + reason);
     }
 
     private long ageMs() {
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - openedAt);
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - openedAtNs);
     }
 
-    private void log(String what) {
-        if (logged) {
-            Log.line("discovery call " + id + " " + what);
+    private void log(String text) {
+        if (isLogged) {
+            Log.line("discovery call " + id + " " + text);
         }
     }
 }
--- a/src/main/java/dewstage/proxy/DiscoveryWatch.java
+++ b/src/main/java/dewstage/proxy/DiscoveryWatch.java
@@ -28,84 +28,84 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One call to discovery and the watch that its answer begins: JSON in a chunked answer. A list counts once
- * its end has come, however it is laid out. Everything happens on one event loop.
+ * One call to discovery and the watch that its answer starts: a stream of JSON lists in a chunked response. A
+ * list takes effect only once it is complete. All methods run on one event loop.
  */
 final class DiscoveryWatch extends SimpleChannelInboundHandler<HttpObject> {
-    /** Why a watch has ended; OPEN as long as it has not. */
-    enum End {
+    /** Why a watch ended; OPEN until then. */
+    enum EndReason {
         OPEN,
         CLOSED_BY_US,
         NOT_CONNECTED,
         NO_DESCRIPTOR,
         REFUSED,
-        SILENT,
-        UNUSABLE,
+        STALLED,
+        INVALID,
         TOO_LARGE,
         CLOSED_BY_PEER
     }
 
-    /** Who hears of it; nothing is called any more once it has ended. */
+    /** Receives the events of a watch, none of them after its end. */
     interface Owner {
-        /** The answer has begun. */
-        void answered(DiscoveryWatch watch);
+        /** The head of a successful answer has been received. */
+        void onAnswered(DiscoveryWatch source);
 
-        /** Discovery has shown, between two lists, that this watch is alive. */
-        void alive(DiscoveryWatch watch);
+        /** A heartbeat has been received between two lists. */
+        void onHeartbeat(DiscoveryWatch source);
 
-        void listed(DiscoveryWatch watch, Discovery.ListUpdate update);
+        void onList(DiscoveryWatch source, Discovery.ListUpdate update);
 
-        /** A list has broken off; this is what of it counts all the same. */
-        void brokenOff(Discovery.ListUpdate leaving);
+        /** The stream ended within a list; the update holds the part that applies nevertheless. */
+        void onListTruncated(Discovery.ListUpdate leaving);
 
         /** Called once. */
-        void ended(DiscoveryWatch watch, End end);
+        void onEnded(DiscoveryWatch source, EndReason reason);
     }
 
     private final EventLoop loop;
     private final Owner owner;
     private final InetSocketAddress address;
-    /** After which changes are wanted, and then that of the last list; -1 for the whole list. */
+    /** Version of the last list; before the first one, the requested version, or -1 for the whole list. */
     private long version;
-    private final long silenceMs;
-    private final long room;
-    private final DiscoveryCall call;
-    private final ListReader lists;
-    private final Json.Stream stream;
-    private final long openedAt = System.nanoTime();
+    private final long stallTimeoutMs;
+    private final long maxListBytes;
+    private final DiscoveryCallLog callLog;
+    private final ListReader listReader;
+    private final Json.TokenStream stream;
+    private final long openedAtNs = System.nanoTime();
     private Channel channel;
-    private boolean connected;
-    private boolean answered;
-    private End end = End.OPEN;
-    /** Of the list at hand. */
+    private boolean isConnected;
+    private boolean isAnswered;
+    private EndReason endReason = EndReason.OPEN;
+    /** Bytes received of the current list. */
     private long listBytes;
-    private ScheduledFuture<?> silence;
+    private ScheduledFuture<?> stallTimer;
 
     /**
-     * A call that is not made yet.
+     * Prepares a call; {@link #open} makes it.
      *
-     * @param fromVersion the version after which changes are wanted; -1 for the whole list
-     * @param silenceMs once answered, a watch that brings nothing for so long has ended
-     * @param room the text of one list may take so many bytes
+     * @param fromVersion the version after which changes are requested; -1 for the whole list
+     * @param stallTimeoutMs an answered watch that receives no data for this long ends as stalled
+     * @param maxListBytes limit of the text of one list
      */
-    DiscoveryWatch(EventLoop loop, Owner owner, InetSocketAddress address, long fromVersion, long silenceMs,
-            long room, ListReader lists, DiscoveryCall call) {
+    DiscoveryWatch(EventLoop loop, Owner owner, InetSocketAddress address, long fromVersion,
+            long stallTimeoutMs, long maxListBytes, ListReader listReader, DiscoveryCallLog callLog) {
         this.loop = loop;
         this.owner = owner;
         this.address = address;
         this.version = fromVersion;
-        this.silenceMs = silenceMs;
-        this.room = room;
-        this.lists = lists;
-        this.call = call;
+        this.stallTimeoutMs = stallTimeoutMs;
+        this.maxListBytes = maxListBytes;
+        this.listReader = listReader;
+        this.callLog = callLog;
         try {
-            this.stream = new Json.Stream();
+            this.stream = new Json.TokenStream();
         } catch (IOException e) {
             throw new AssertionError("nothing has been read yet", e);
         }
     }
 
-    /** Makes the call; the owner may hear of its end before this returns. */
+    /** Connects and sends the request. The owner may be notified of the end before this method returns. */
     void open(int connectTimeoutMs) {
         ChannelFuture connect = new Bootstrap().group(loop).channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs)
@@ -118,85 +118,85 @@
         channel = connect.channel();
         if (Sockets.noneFor(connect)) {
             Log.line("discovery cannot be called: " + connect.cause());
-            end(End.NO_DESCRIPTOR, "no descriptor");
+            end(EndReason.NO_DESCRIPTOR, "no descriptor");
             return;
         }
-        // A refused connect may be heard of as the end of the channel first.
+        // When a connect is refused, the close future may complete before the connect future.
         channel.closeFuture().addListener(f -> {
-            if (connected) {
-                end(End.CLOSED_BY_PEER, "closed by discovery");
+            if (isConnected) {
+                end(EndReason.CLOSED_BY_PEER, "closed by discovery");
             } else {
-                end(End.NOT_CONNECTED, "cannot connect: " + connect.cause());
+                end(EndReason.NOT_CONNECTED, "cannot connect: " + connect.cause());
             }
         });
         connect.addListener(f -> {
             if (!f.isSuccess()) {
-                end(End.NOT_CONNECTED, "cannot connect: " + f.cause());
+                end(EndReason.NOT_CONNECTED, "cannot connect: " + f.cause());
             }
         });
     }
 
-    /** Ends it; the owner is not told. */
+    /** Closes the watch without notifying the owner. */
     void close(String reason) {
-        if (end == End.OPEN) {
-            end = End.CLOSED_BY_US;
-            call.ended(reason);
+        if (endReason == EndReason.OPEN) {
+            endReason = EndReason.CLOSED_BY_US;
+            callLog.ended(reason);
             release();
         }
     }
 
-    /** Ends it as one that has brought nothing for too long. */
+    /** Ends the watch as stalled and notifies the owner. */
     void giveUp(String reason) {
-        end(End.SILENT, reason);
+        end(EndReason.STALLED, reason);
     }
 
-    /** Has the answer begun? */
-    boolean answered() {
-        return answered;
+    /** Whether a successful answer has begun. */
+    boolean isAnswered() {
+        return isAnswered;
     }
 
     InetSocketAddress address() {
         return address;
     }
 
-    /** How long ago the call was made. */
+    /** Time since the call was created. */
     long ageNs() {
-        return System.nanoTime() - openedAt;
+        return System.nanoTime() - openedAtNs;
     }
 
-    private void end(End why, String reason) {
-        if (end == End.OPEN) {
-            end = why;
-            call.ended(reason);
+    private void end(EndReason reason, String details) {
+        if (endReason == EndReason.OPEN) {
+            endReason = reason;
+            callLog.ended(details);
             release();
-            breakOff();
-            owner.ended(this, why);
+            reportTruncatedList();
+            owner.onEnded(this, reason);
         }
     }
 
-    /** What cannot be read or is too large is no list at all. */
-    private void breakOff() {
-        if (end == End.CLOSED_BY_PEER || end == End.SILENT) {
-            Discovery.ListUpdate leaving = lists.breakOff(version);
+    /** Reports the usable part of an unfinished list, but nothing of one that is invalid or too large. */
+    private void reportTruncatedList() {
+        if (endReason == EndReason.CLOSED_BY_PEER || endReason == EndReason.STALLED) {
+            Discovery.ListUpdate leaving = listReader.endTruncated(version);
             if (leaving != null) {
-                owner.brokenOff(leaving);
+                owner.onListTruncated(leaving);
             }
         }
     }
 
     private void release() {
-        if (silence != null) {
-            silence.cancel(false);
+        if (stallTimer != null) {
+            stallTimer.cancel(false);
         }
-        if (end != End.NO_DESCRIPTOR) {
+        if (endReason != EndReason.NO_DESCRIPTOR) {
             channel.close();
         }
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        connected = true;
-        call.connected();
+        isConnected = true;
+        callLog.connected();
         String from = version < 0 ? "" : "&index=" + version;
         DefaultFullHttpRequest get = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
                 "/catalog/members?stream=1" + from);
@@ -204,74 +204,74 @@
         ctx.writeAndFlush(get);
     }
 
-    /** A discovery that is cut off leaves the watch open and silent. */
-    private void restartSilenceTimer() {
-        if (silence != null) {
-            silence.cancel(false);
+    /** Detects a discovery that is cut off from the network: the connection stays open without data. */
+    private void restartStallTimer() {
+        if (stallTimer != null) {
+            stallTimer.cancel(false);
         }
-        silence = loop.schedule(() -> end(End.SILENT, "silent for " + silenceMs + " ms"), silenceMs,
-                TimeUnit.MILLISECONDS);
+        stallTimer = loop.schedule(() -> end(EndReason.STALLED, "no data for " + stallTimeoutMs + " ms"),
+                stallTimeoutMs, TimeUnit.MILLISECONDS);
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-        if (end != End.OPEN) {
-            return; // what is left of it comes again on the next
+        if (endReason != EndReason.OPEN) {
+            return; // the next watch receives the remaining changes
         }
         if (message.decoderResult().isFailure()) {
-            end(End.UNUSABLE, "no HTTP: " + message.decoderResult().cause());
+            end(EndReason.INVALID, "invalid HTTP: " + message.decoderResult().cause());
         } else if (message instanceof HttpResponse r) {
-            begin(r.status());
+            onResponse(r.status());
         }
-        if (end == End.OPEN && message instanceof HttpContent content) {
+        if (endReason == EndReason.OPEN && message instanceof HttpContent content) {
             read(content.content());
         }
-        if (end == End.OPEN && message instanceof LastHttpContent) {
-            end(End.CLOSED_BY_PEER, "the answer has ended");
+        if (endReason == EndReason.OPEN && message instanceof LastHttpContent) {
+            end(EndReason.CLOSED_BY_PEER, "the answer has ended");
         }
     }
 
-    private void begin(HttpResponseStatus status) {
-        call.answered(status);
+    private void onResponse(HttpResponseStatus status) {
+        callLog.answered(status);
         if (!status.equals(HttpResponseStatus.OK)) {
-            end(End.REFUSED, "refused with " + status.code());
+            end(EndReason.REFUSED, "refused with " + status.code());
             return;
         }
-        answered = true;
-        restartSilenceTimer();
-        owner.answered(this);
+        isAnswered = true;
+        restartStallTimer();
+        owner.onAnswered(this);
     }
 
     private void read(ByteBuf bytes) {
-        // An empty line is a sign of life between lists; inside one it brings that no nearer to its end.
-        boolean blank = bytes.forEachByte(b -> b >= 0 && b <= ' ') < 0;
-        boolean between = lists.between();
-        if (between || !blank) {
-            restartSilenceTimer();
+        // An empty line is a heartbeat between lists. Within a list it does not count as progress.
+        boolean isBlank = bytes.forEachByte(b -> b >= 0 && b <= ' ') < 0;
+        boolean isBetweenLists = listReader.isBetweenLists();
+        if (isBetweenLists || !isBlank) {
+            restartStallTimer();
         }
-        if (between && blank && bytes.isReadable()) {
-            owner.alive(this);
+        if (isBetweenLists && isBlank && bytes.isReadable()) {
+            owner.onHeartbeat(this);
         }
         try {
             stream.feed(ByteBufUtil.getBytes(bytes), (parser, token) -> {
-                Discovery.ListUpdate update = lists.take(parser, token);
-                if (update != null && end == End.OPEN) {
-                    call.list(version, update);
+                Discovery.ListUpdate update = listReader.accept(parser, token);
+                if (update != null && endReason == EndReason.OPEN) {
+                    callLog.listReceived(version, update);
                     version = update.version();
-                    owner.listed(this, update);
+                    owner.onList(this, update);
                 }
             });
-            listBytes = lists.between() ? 0 : listBytes + bytes.readableBytes();
-            if (listBytes > room) {
-                throw new TooLargeException("more than " + room / 1_000_000 + " MB of text");
+            listBytes = listReader.isBetweenLists() ? 0 : listBytes + bytes.readableBytes();
+            if (listBytes > maxListBytes) {
+                throw new TooLargeException("more than " + maxListBytes / 1_000_000 + " MB of text");
             }
         } catch (TooLargeException | StreamConstraintsException e) {
-            Log.line("a list of discovery is too large, the old one stands: " + Json.firstLine(e));
-            end(End.TOO_LARGE, "its list is too large");
+            Log.line("a list from discovery is too large, keeping the current one: " + Json.firstLine(e));
+            end(EndReason.TOO_LARGE, "its list is too large");
         } catch (IOException | IllegalArgumentException e) {
-            // It may have been news: only a new watch from the last version is sure to bring it.
-            Log.line("a list of discovery is not understood: " + Json.firstLine(e));
-            end(End.UNUSABLE, "its list is not understood");
+            // The invalid list may contain a change; a new watch from the last version delivers it again.
+            Log.line("invalid list from discovery: " + Json.firstLine(e));
+            end(EndReason.INVALID, "its list is invalid");
         }
     }
 
@@ -282,6 +282,6 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        end(End.CLOSED_BY_PEER, "broken: " + cause);
+        end(EndReason.CLOSED_BY_PEER, "connection failed: " + cause);
     }
 }
--- a/src/main/java/dewstage/proxy/Entries.java
+++ b/src/main/java/dewstage/proxy/Entries.java
@@ -6,63 +6,65 @@
 import java.util.function.Consumer;
 
 /**
- * Entries by their number, found by their id. The number follows from the id, so that most need no map of
- * ids; the few whose number was another's already are kept beside.
+ * Entries by number and by id. The number is a hash of the id, so most entries need no second map; only those
+ * with a colliding hash are kept in a map by id as well.
  */
 final class Entries {
     /**
-     * What one takes beside the letters of its id, on a heap with compressed references: the entry 40, its
-     * member 48, the id's string 24 and its array 16, and up to four places of 8 in the map.
+     * Memory of an entry besides the characters of its id, on a heap with compressed references: the entry
+     * 40, its member 48, the id's string 24 and its array 16, and up to four slots of 8 in the map.
      */
-    private static final int BYTES = 160;
+    private static final int ENTRY_BYTES = 160;
 
     private final IntMap<Membership.Entry> byNumber = new IntMap<>();
+    /** Entries whose preferred number was in use. */
     private final Map<String, Membership.Entry> displaced = new HashMap<>();
-    /** The length of all ids. */
-    private long letters;
+    /** The total length of all ids. */
+    private long idChars;
 
     Membership.Entry get(int number) {
         return byNumber.get(number);
     }
 
-    /** The entry of this id; null if there is none. */
+    /** Returns the entry with this id, or null. */
     Membership.Entry find(String id) {
-        Membership.Entry e = byNumber.get(number(id));
-        return e != null && e.id.equals(id) ? e : displaced.get(id);
+        Membership.Entry entry = byNumber.get(preferredNumber(id));
+        return entry != null && entry.id.equals(id) ? entry : displaced.get(id);
     }
 
-    /** Puts it in the place of what has its number. */
-    void put(Membership.Entry e) {
-        letters += byNumber.get(e.number()) == null ? e.id.length() : 0;
-        byNumber.put(e.number(), e);
-        if (e.number() != number(e.id)) {
-            displaced.put(e.id, e);
+    /** Adds an entry, or replaces the one with the same number. */
+    void put(Membership.Entry entry) {
+        idChars += byNumber.get(entry.number()) == null ? entry.id.length() : 0;
+        byNumber.put(entry.number(), entry);
+        if (entry.number() != preferredNumber(entry.id)) {
+            displaced.put(entry.id, entry);
         }
     }
 
-    void remove(Membership.Entry e) {
-        letters -= byNumber.get(e.number()) == null ? 0 : e.id.length();
-        byNumber.remove(e.number());
-        displaced.remove(e.id);
+    void remove(Membership.Entry entry) {
+        idChars -= byNumber.get(entry.number()) == null ? 0 : entry.id.length();
+        byNumber.remove(entry.number());
+        displaced.remove(entry.id);
     }
 
     int size() {
         return byNumber.size();
     }
 
+    /** Estimated memory of all entries. */
     long bytes() {
-        return (long) size() * BYTES + letters;
+        return (long) size() * ENTRY_BYTES + idChars;
     }
 
-    void each(Consumer<Membership.Entry> to) {
-        byNumber.each(to);
+    void each(Consumer<Membership.Entry> action) {
+        byNumber.each(action);
     }
 
     /**
-     * The number that an id wishes for. The module orders backends by it to spread the proxies' subsets, so
-     * it comes from the id alone, the same at every proxy.
+     * The number of an id unless it collides. The module orders backends by number to spread the subsets of
+     * the proxies, so it depends on the id alone and is the same at every proxy.
      */
-    static int number(String id) {
+    static int preferredNumber(String id) {
         return (int) (Discovery.hash(id) >>> 32);
     }
 }
--- a/src/main/java/dewstage/proxy/Json.java
+++ b/src/main/java/dewstage/proxy/Json.java
@@ -13,30 +13,30 @@
 import java.nio.file.Path;
 
 /**
- * Reads JSON, into a tree or token by token. Jackson's parser and nodes do the work; its ObjectMapper is left
- * out, since making one sets up dates, zones and locales, a fifth of a second of a start on half a core. The
- * parser limits depth and lengths.
+ * Reads JSON into a tree or token by token, with Jackson's parser and nodes but without its ObjectMapper:
+ * creating one initializes dates, zones and locales, which takes a fifth of a second of the start on half a
+ * core. The parser limits depth and lengths.
  */
 final class Json {
-    /** No text in a list is longer than an address or a name; what is skipped has to be read as well. */
-    private static final int LONGEST_TEXT = 64 << 10;
-    private static final JsonFactory PARSERS = new JsonFactory();
-    private static final JsonFactory LISTS = new JsonFactory().setStreamReadConstraints(
-            StreamReadConstraints.builder().maxStringLength(LONGEST_TEXT).build());
+    /** Limit for lists, whose strings are addresses and names. It covers skipped values as well. */
+    private static final int MAX_STRING_LENGTH = 64 << 10;
+    private static final JsonFactory FACTORY = new JsonFactory();
+    private static final JsonFactory LIST_FACTORY = new JsonFactory().setStreamReadConstraints(
+            StreamReadConstraints.builder().maxStringLength(MAX_STRING_LENGTH).build());
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
     private Json() { }
 
     static JsonNode read(byte[] bytes) throws IOException {
-        try (JsonParser parser = PARSERS.createParser(bytes)) {
+        try (JsonParser parser = FACTORY.createParser(bytes)) {
             parser.nextToken();
             return value(parser);
         }
     }
 
-    /** The object in a file, but for one of its fields. */
+    /** Reads the object in a file without one of its fields. */
     static JsonNode readWithout(String field, Path path) throws IOException {
-        try (JsonParser parser = PARSERS.createParser(path.toFile())) {
+        try (JsonParser parser = FACTORY.createParser(path.toFile())) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
                 return value(parser);
             }
@@ -53,9 +53,9 @@
         }
     }
 
-    /** A parser in front of the value of one field of the object in a file, or at the end. */
-    static JsonParser open(String field, Path path) throws IOException {
-        JsonParser parser = PARSERS.createParser(path.toFile());
+    /** Returns a parser positioned before the value of one field of the object in a file, or at the end. */
+    static JsonParser openField(String field, Path path) throws IOException {
+        JsonParser parser = FACTORY.createParser(path.toFile());
         parser.nextToken();
         for (String name = parser.nextFieldName(); name != null && !name.equals(field);
                 name = parser.nextFieldName()) {
@@ -65,7 +65,7 @@
         return parser;
     }
 
-    /** The value that begins with the current token; leaves the parser at its last. */
+    /** Reads the value that begins with the current token; leaves the parser at its last token. */
     private static JsonNode value(JsonParser parser) throws IOException {
         JsonToken token = parser.currentToken();
         if (token == null) {
@@ -108,32 +108,32 @@
         }
     }
 
-    /** Who takes in tokens, each while the parser stands at it. */
-    interface Taker {
-        void take(JsonParser parser, JsonToken token) throws IOException;
+    /** Receives each token while the parser is positioned at it. */
+    interface TokenHandler {
+        void onToken(JsonParser parser, JsonToken token) throws IOException;
     }
 
-    /** What a parser or reader complains of; its message may run over several lines. */
+    /** The first line of a message; those of the parser span several lines. */
     static String firstLine(Exception e) {
         return e.getMessage().lines().findFirst().orElse("");
     }
 
-    /** Values that come one after another in pieces, however they are laid out. */
-    static final class Stream implements AutoCloseable {
+    /** Parses a sequence of values that arrives in pieces, in any layout and split at any byte. */
+    static final class TokenStream implements AutoCloseable {
         private final JsonParser parser;
         private final ByteArrayFeeder feeder;
 
-        Stream() throws IOException {
-            this.parser = LISTS.createNonBlockingByteArrayParser();
+        TokenStream() throws IOException {
+            this.parser = LIST_FACTORY.createNonBlockingByteArrayParser();
             this.feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
         }
 
-        /** Takes in a piece and hands on the tokens that it makes whole; none once this is closed. */
-        void feed(byte[] piece, Taker taker) throws IOException {
-            feeder.feedInput(piece, 0, piece.length);
-            for (JsonToken t = parser.nextToken(); t != null && t != JsonToken.NOT_AVAILABLE;
-                    t = parser.nextToken()) {
-                taker.take(parser, t);
+        /** Parses further bytes and passes on the tokens that they complete; none once this is closed. */
+        void feed(byte[] bytes, TokenHandler handler) throws IOException {
+            feeder.feedInput(bytes, 0, bytes.length);
+            for (JsonToken token = parser.nextToken(); token != null && token != JsonToken.NOT_AVAILABLE;
+                    token = parser.nextToken()) {
+                handler.onToken(parser, token);
             }
         }
 
--- a/src/main/java/dewstage/proxy/ListReader.java
+++ b/src/main/java/dewstage/proxy/ListReader.java
@@ -10,23 +10,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Makes lists of what a parser says, token by token: nothing of a list is kept but the entry at hand and what
- * the membership does not hold already. Throws IllegalArgumentException where it is no list; what came of it
- * so far is void.
+ * Builds list updates from JSON tokens, without a tree of the whole list: it keeps only the current entry and
+ * what differs from the membership. Throws IllegalArgumentException if the JSON is not a valid list; what was
+ * read of that list has no effect.
  */
 final class ListReader {
     private final Membership membership;
     private final List<String> zones;
     private final List<String> kinds;
 
-    /** The list at hand; null between lists. */
+    /** The current list; null between lists. */
     private Membership.Update update;
-    /** The name in front of the value at hand, and how deep we are in a value that is of no use here. */
+    /** The name of the current field. */
     private String field;
-    private int skipping;
+    /** Nesting depth within a value that is skipped; 0 if none is. */
+    private int skipDepth;
     private Long generation;
-    private boolean whole;
-    private boolean listed;
+    private boolean isFullList;
+    private boolean hasInstances;
     private boolean inInstances;
     private boolean inEntry;
 
@@ -45,72 +46,71 @@
         this.kinds = config.kinds();
     }
 
-    /** Is no list begun that has not ended? */
-    boolean between() {
+    boolean isBetweenLists() {
         return update == null;
     }
 
-    /** No more comes of a list that has begun; returns what of it counts all the same, null if nothing. */
-    Discovery.ListUpdate breakOff(long version) {
-        Discovery.ListUpdate leaving = update == null ? null : update.breakOff(version);
+    /** Ends a list that was cut off; returns the part of it that applies nevertheless, or null. */
+    Discovery.ListUpdate endTruncated(long version) {
+        Discovery.ListUpdate leaving = update == null ? null : update.endTruncated(version);
         update = null;
         return leaving;
     }
 
-    /** Takes in one token; returns the news if a list ends with it, else null. */
-    Discovery.ListUpdate take(JsonParser parser, JsonToken token) throws IOException {
-        if (skipping > 0) {
-            skipping += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
+    /** Processes one token; returns the update if the token completes a list, else null. */
+    Discovery.ListUpdate accept(JsonParser parser, JsonToken token) throws IOException {
+        if (skipDepth > 0) {
+            skipDepth += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
         } else if (token == JsonToken.FIELD_NAME) {
             field = parser.currentName();
         } else if (update == null) {
-            begin(token);
+            beginList(token);
         } else if (inEntry) {
-            inEntry(parser, token);
+            readEntryValue(parser, token);
         } else if (inInstances) {
-            inInstances(token);
+            readInstance(token);
         } else if (token == JsonToken.END_OBJECT) {
-            return end();
+            return endList();
         } else {
-            top(parser, token);
+            readListValue(parser, token);
         }
         return null;
     }
 
-    private void begin(JsonToken token) {
+    private void beginList(JsonToken token) {
         if (token != JsonToken.START_OBJECT) {
-            throw new IllegalArgumentException("no generation or instances");
+            throw new IllegalArgumentException("a list without generation or instances");
         }
         update = membership.begin();
         generation = null;
-        whole = false;
-        listed = false;
+        isFullList = false;
+        hasInstances = false;
     }
 
-    private Discovery.ListUpdate end() {
-        if (generation == null || !listed) {
-            throw new IllegalArgumentException("no generation or instances");
+    private Discovery.ListUpdate endList() {
+        if (generation == null || !hasInstances) {
+            throw new IllegalArgumentException("a list without generation or instances");
         }
-        Discovery.ListUpdate listUpdate = update.end(generation, whole);
+        Discovery.ListUpdate listUpdate = update.end(generation, isFullList);
         update = null;
         return listUpdate;
     }
 
-    private void top(JsonParser parser, JsonToken token) throws IOException {
+    private void readListValue(JsonParser parser, JsonToken token) throws IOException {
         switch (field) {
             case "generation" -> generation = token.isNumeric() ? version(parser, token) : null;
-            case "reset" -> whole = parser.getValueAsBoolean(false);
+            case "reset" -> isFullList = parser.getValueAsBoolean(false);
             case "instances" -> {
-                listed = token == JsonToken.START_ARRAY;
-                inInstances = listed;
-                update = membership.begin(); // named twice, the later one counts
+                hasInstances = token == JsonToken.START_ARRAY;
+                inInstances = hasInstances;
+                update = membership.begin(); // of duplicate fields the last one counts
             }
             default -> { }
         }
-        skipping = token.isStructStart() && !inInstances ? 1 : 0;
+        skipDepth = token.isStructStart() && !inInstances ? 1 : 0;
     }
 
-    /** Null for what is no version. */
+    /** Returns null for a number that does not fit a version. */
     private static Long version(JsonParser parser, JsonToken token) throws IOException {
         if (token == JsonToken.VALUE_NUMBER_FLOAT) {
             double d = parser.getDoubleValue();
@@ -119,13 +119,13 @@
         return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER ? null : parser.getLongValue();
     }
 
-    private void inInstances(JsonToken token) {
+    private void readInstance(JsonToken token) {
         if (token == JsonToken.END_ARRAY) {
             inInstances = false;
             return;
         }
         if (token != JsonToken.START_OBJECT) {
-            throw new IllegalArgumentException("an instance with no id or address");
+            throw new IllegalArgumentException("an instance without id or address");
         }
         inEntry = true;
         id = "";
@@ -138,32 +138,32 @@
         weight = 1;
     }
 
-    private void inEntry(JsonParser parser, JsonToken token) throws IOException {
+    private void readEntryValue(JsonParser parser, JsonToken token) throws IOException {
         if (token == JsonToken.END_OBJECT) {
             inEntry = false;
             endEntry();
             return;
         }
-        boolean nested = token.isStructStart();
-        skipping = nested ? 1 : 0;
+        boolean isNested = token.isStructStart();
+        skipDepth = isNested ? 1 : 0;
         switch (field) {
-            case "instanceId" -> id = nested ? "" : parser.getText();
-            case "hostPort" -> hostPort = nested ? "" : parser.getText();
-            case "lifecycle" -> lifecycle = nested ? "" : parser.getText();
-            case "zone" -> zone = place(zones, nested ? "" : parser.getText());
-            case "machineType" -> kind = place(kinds, nested ? "" : parser.getText());
-            case "startedAtMs" -> startedAtMs = number(parser, token);
-            case "cell" -> cell = (int) number(parser, token);
+            case "instanceId" -> id = isNested ? "" : parser.getText();
+            case "hostPort" -> hostPort = isNested ? "" : parser.getText();
+            case "lifecycle" -> lifecycle = isNested ? "" : parser.getText();
+            case "zone" -> zone = indexOrSize(zones, isNested ? "" : parser.getText());
+            case "machineType" -> kind = indexOrSize(kinds, isNested ? "" : parser.getText());
+            case "startedAtMs" -> startedAtMs = wholeNumber(parser, token);
+            case "cell" -> cell = (int) wholeNumber(parser, token);
             case "weight" -> weight = token == JsonToken.VALUE_NULL ? 1 : parser.getValueAsDouble(1);
             default -> { }
         }
     }
 
-    /** A whole number, however it is written; 0 for what is none. */
-    private static long number(JsonParser parser, JsonToken token) throws IOException {
-        boolean big = token == JsonToken.VALUE_NUMBER_FLOAT || token == JsonToken.VALUE_NUMBER_INT
+    /** Converts any notation of a number to a whole number; returns 0 for other values. */
+    private static long wholeNumber(JsonParser parser, JsonToken token) throws IOException {
+        boolean isFloatOrBig = token == JsonToken.VALUE_NUMBER_FLOAT || token == JsonToken.VALUE_NUMBER_INT
                 && parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER;
-        return big ? (long) parser.getDoubleValue() : parser.getValueAsLong(0);
+        return isFloatOrBig ? (long) parser.getDoubleValue() : parser.getValueAsLong(0);
     }
 
     private void endEntry() {
@@ -171,18 +171,18 @@
             case "in_service" -> State.READY;
             case "terminating" -> State.DRAINING;
             case "terminated" -> State.GONE;
-            default -> throw new IllegalArgumentException("lifecycle \"" + lifecycle + "\"");
+            default -> throw new IllegalArgumentException("unknown lifecycle \"" + lifecycle + "\"");
         };
         InetSocketAddress address = Config.address(hostPort);
         if (id.isEmpty() || address == null && state != State.GONE) {
-            throw new IllegalArgumentException("an instance with no id or address");
+            throw new IllegalArgumentException("an instance without id or address");
         }
         update.add(id, new Member(0, kind, state, TimeUnit.MILLISECONDS.toNanos(Math.max(0, startedAtMs)),
                 cell, zone, weight), address);
     }
 
-    /** A name that the settings do not list stands apart from all that they do. */
-    private static int place(List<String> names, String name) {
+    /** All names that are missing from the settings share one index after the last. */
+    private static int indexOrSize(List<String> names, String name) {
         int i = names.indexOf(name);
         return i < 0 ? names.size() : i;
     }
--- a/src/main/java/dewstage/proxy/Membership.java
+++ b/src/main/java/dewstage/proxy/Membership.java
@@ -8,184 +8,199 @@
 import java.util.List;
 
 /**
- * The backends as discovery lists them, each held once. A list is compared as it comes, entry by entry: what
- * it says anew stands apart until its end, and only then takes effect, all at once. So a list that breaks off
- * changes nothing, one heard again costs no memory, and who listens hears only of what differs.
+ * The backends listed by discovery, one entry for each. An incoming list is compared entry by entry; what
+ * differs is staged and applied at once when the list is complete. So an incomplete list changes at most the
+ * servers that it names as leaving, a repeated list costs no memory, and listeners receive only differences.
  */
 final class Membership {
-    /** A backend as listed, under its id. */
-    static final class Entry extends Discovery.Listed {
+    /** A listed backend with its id. */
+    static final class Entry extends Discovery.ListedBackend {
         final String id;
-        /** The last list that named it. */
-        private int list;
+        /** Number of the last list that contained this entry. */
+        private int listNumber;
 
-        Entry(String id, Member member, InetSocketAddress address, int list) {
+        Entry(String id, Member member, InetSocketAddress address, int listNumber) {
             super(member, address);
             this.id = id;
-            this.list = list;
+            this.listNumber = listNumber;
         }
 
         int number() {
             return member().id();
         }
 
-        private boolean gone() {
+        private boolean isGone() {
             return member().state() == State.GONE;
         }
     }
 
     /**
-     * What the module keeps of a backend beside its member, rounded up: a server of Policy and its places in
-     * maps and orders.
+     * Memory of the decision module for each backend besides its member, rounded up: a server of Policy and
+     * its slots in maps and sorted orders.
      */
     private static final int MODULE_BYTES = 300;
 
-    /** What a proxy holds beside its list: 3.8 MB with one entry and no request, and as much again. */
-    private static final long REST_BYTES = 8 << 20;
+    /** Memory of a proxy besides its list: twice the 3.8 MB with one entry and no requests. */
+    private static final long BASE_BYTES = 8 << 20;
 
-    private final long room;
-    private Entries held = new Entries();
-    private int lists;
-    private boolean delivered;
+    private final long maxBytes;
+    private Entries entries = new Entries();
+    private int listCount;
+    private boolean isFullListDelivered;
 
-    /** All that is listed, with what the module makes of it, may take so many bytes. */
-    Membership(long room) {
-        this.room = room;
+    /**
+     * Creates an empty membership.
+     *
+     * @param maxBytes limit of the memory for all entries, including what the module keeps for each
+     */
+    Membership(long maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
     /**
-     * Two thirds of the heap beyond what the rest holds: deploy/serve.sh keeps two fifths of the heap for
-     * what is new, and what lasts must fit into the other three.
+     * Two thirds of the heap that the rest of the proxy does not need: deploy/serve.sh reserves two fifths of
+     * the heap for the young generation, and all long-lived objects must fit into the other three.
      */
-    static long usualRoom() {
-        return Math.max(0, Runtime.getRuntime().maxMemory() - REST_BYTES) * 2 / 3;
+    static long defaultMaxBytes() {
+        return Math.max(0, Runtime.getRuntime().maxMemory() - BASE_BYTES) * 2 / 3;
     }
 
-    /** What is listed under a number; null if nothing is. */
+    /** Returns the entry with this number, or null. */
     Entry get(int number) {
-        return held.get(number);
+        return entries.get(number);
     }
 
-    /** How many backends are listed. */
     int size() {
-        return held.size();
+        return entries.size();
     }
 
-    /** A list begins; what came of one that has not ended is forgotten. */
+    /** Starts a list. Staged entries of an unfinished list are not applied. */
     Update begin() {
-        lists++;
-        return new Update(lists);
+        listCount++;
+        return new Update(listCount);
     }
 
-    /** What one list says anew. Whether it is a whole one may be known only at its end. */
+    /** The staged differences of one list. Whether the list is a full one may be known only at its end. */
     final class Update {
-        private final int list;
+        private final int listNumber;
         private final Entries staged = new Entries();
-        /** All that were ever staged, in order; a later word on an id is the one that counts. */
-        private final List<Discovery.Listed> order = new ArrayList<>();
-        /** Of those staged, the ones that nobody has heard of before. */
-        private int fresh;
+        /** All entries ever staged, in order; of several with the same id the last one counts. */
+        private final List<Discovery.ListedBackend> ordered = new ArrayList<>();
+        /** Number of staged entries whose id is not in the membership. */
+        private int addedCount;
 
-        private Update(int list) {
-            this.list = list;
+        private Update(int listNumber) {
+            this.listNumber = listNumber;
         }
 
-        /** One entry; its member bears no number yet, and it has an address unless it is gone. */
+        /**
+         * Stages one entry if it differs from the current one.
+         *
+         * @param member without a number; it is assigned here
+         * @param address null only if the backend is gone
+         */
         void add(String id, Member member, InetSocketAddress address) {
-            Entry old = held.find(id);
-            Entry before = staged.find(id);
-            if (before != null) {
-                staged.remove(before);
-                fresh -= old == null ? 1 : 0;
+            Entry current = entries.find(id);
+            Entry previous = staged.find(id);
+            if (previous != null) {
+                staged.remove(previous);
+                addedCount -= current == null ? 1 : 0;
             }
-            boolean gone = member.state() == State.GONE;
-            if (old == null && gone) {
-                return; // nobody has heard of it
+            boolean isGone = member.state() == State.GONE;
+            if (current == null && isGone) {
+                return; // unknown to the listeners as well
             }
-            int number = old != null ? old.number() : before != null ? before.number() : free(id);
-            Entry e = new Entry(old == null ? id : old.id, new Member(number, member.kind(), member.state(),
-                    member.bootNs(), member.cell(), member.zone(), member.units()), address, list);
-            if (old != null) {
-                old.list = list;
-                if (old.same(e)) {
+            int number = current != null ? current.number()
+                    : previous != null ? previous.number() : freeNumber(id);
+            Entry entry = new Entry(current == null ? id : current.id, new Member(number, member.kind(),
+                    member.state(), member.bootNs(), member.cell(), member.zone(), member.units()), address,
+                    listNumber);
+            if (current != null) {
+                current.listNumber = listNumber;
+                if (current.isSameAs(entry)) {
                     return;
                 }
             }
-            staged.put(e);
-            order.add(e);
-            fresh += old == null ? 1 : 0;
-            if (held.bytes() + staged.bytes() + (long) (held.size() + fresh) * MODULE_BYTES > room) {
-                throw new TooLargeException("more than " + room / 1_000_000 + " MB with entry "
-                        + (held.size() + fresh));
+            staged.put(entry);
+            ordered.add(entry);
+            addedCount += current == null ? 1 : 0;
+            if (entries.bytes() + staged.bytes() + (long) (entries.size() + addedCount) * MODULE_BYTES
+                    > maxBytes) {
+                throw new TooLargeException("more than " + maxBytes / 1_000_000 + " MB with entry "
+                        + (entries.size() + addedCount));
             }
         }
 
-        /** Two ids of one hash must not become one backend, nor a new one take over from one that leaves. */
-        private int free(String id) {
-            int n = Entries.number(id);
-            while (held.get(n) != null || staged.get(n) != null) {
-                n++;
+        /**
+         * Returns an unused number, so that two ids with the same hash remain two backends and a new backend
+         * does not inherit the number of one that is leaving.
+         */
+        private int freeNumber(String id) {
+            int candidate = Entries.preferredNumber(id);
+            while (entries.get(candidate) != null || staged.get(candidate) != null) {
+                candidate++;
             }
-            return n;
+            return candidate;
         }
 
         /**
-         * The list has broken off. What it said of servers that leave counts all the same: it may count as
-         * told, and waiting for it to be said again may outlast the grace; all else comes again.
+         * Ends a list that was cut off. Servers that it named as leaving are applied nevertheless: the change
+         * may count as delivered, and receiving it again may take longer than the drain grace. All other
+         * entries are discarded, since discovery sends them again.
          *
-         * @return what that changes; null if nothing
+         * @return the changes applied; null if there are none
          */
-        Discovery.ListUpdate breakOff(long version) {
-            List<Discovery.Listed> leaving = new ArrayList<>();
+        Discovery.ListUpdate endTruncated(long version) {
+            List<Discovery.ListedBackend> leaving = new ArrayList<>();
             staged.each(e -> {
-                if (e.member().state() != State.READY && held.get(e.number()) != null) {
+                if (e.member().state() != State.READY && entries.get(e.number()) != null) {
                     leaving.add(e);
                 }
             });
-            for (Discovery.Listed l : leaving) {
-                Entry e = (Entry) l;
-                if (e.gone()) {
-                    held.remove(e);
+            for (Discovery.ListedBackend backend : leaving) {
+                Entry entry = (Entry) backend;
+                if (entry.isGone()) {
+                    entries.remove(entry);
                 } else {
-                    held.put(e);
+                    entries.put(entry);
                 }
             }
             return leaving.isEmpty() ? null : new Discovery.ListUpdate(ListKind.DELTA, version, leaving);
         }
 
-        /** The list has come to its end and counts from now on; returns what it changes. */
-        Discovery.ListUpdate end(long version, boolean whole) {
-            if (order.size() > staged.size()) {
-                order.removeIf(l -> staged.get(l.member().id()) != l);
+        /** Applies the complete list and returns the changes. */
+        Discovery.ListUpdate end(long version, boolean isFullList) {
+            if (ordered.size() > staged.size()) {
+                ordered.removeIf(b -> staged.get(b.member().id()) != b);
             }
             List<Entry> leaving = new ArrayList<>();
-            if (whole) {
-                held.each(e -> {
-                    if (e.list < list) { // another watch may have named it since
+            if (isFullList) {
+                entries.each(e -> {
+                    if (e.listNumber < listNumber) { // a later list of another watch may contain the entry
                         leaving.add(e);
                     }
                 });
             }
-            for (Entry e : leaving) {
-                Member m = e.member();
-                order.add(new Discovery.Listed(new Member(m.id(), m.kind(), State.GONE, m.bootNs(), m.cell(),
-                        m.zone(), m.units()), null));
+            for (Entry entry : leaving) {
+                Member m = entry.member();
+                ordered.add(new Discovery.ListedBackend(new Member(m.id(), m.kind(), State.GONE, m.bootNs(),
+                        m.cell(), m.zone(), m.units()), null));
             }
-            if (held.size() == 0) {
-                held = staged; // a first list need not be copied
+            if (entries.size() == 0) {
+                entries = staged; // avoids copying the first list
             } else {
                 staged.each(e -> {
-                    if (e.gone()) {
+                    if (e.isGone()) {
                         leaving.add(e);
                     } else {
-                        held.put(e);
+                        entries.put(e);
                     }
                 });
-                leaving.forEach(held::remove);
+                leaving.forEach(entries::remove);
             }
-            ListKind kind = whole && !delivered ? ListKind.FULL : ListKind.DELTA;
-            delivered = true;
-            return new Discovery.ListUpdate(kind, version, order);
+            ListKind kind = isFullList && !isFullListDelivered ? ListKind.FULL : ListKind.DELTA;
+            isFullListDelivered = true;
+            return new Discovery.ListUpdate(kind, version, ordered);
         }
     }
 }
