--- a/src/main/java/dewstage/proxy/Clock.java
+++ b/src/main/java/dewstage/proxy/Clock.java
@@ -1,6 +1,6 @@
 package dewstage.proxy;
 
-/** Unix time in ns as read at the start, and monotonic from there: backends' start times compare with it. */
+/** Monotonic clock in ns, set to Unix time at the start so that start times of backends compare with it. */
 class Clock {
     private final long origin = System.currentTimeMillis() * 1_000_000L - System.nanoTime();
 
--- a/src/main/java/dewstage/proxy/Config.java
+++ b/src/main/java/dewstage/proxy/Config.java
@@ -16,17 +16,16 @@
 import java.util.Map;
 
 /**
- * What a proxy is told: the file at NODE_CONFIG; at the start NODE_LISTEN and NODE_DISCOVERY win over
- * it.
- * The names' places in their lists are the numbers that the module knows them by.
+ * The configuration of a proxy: the file named by NODE_CONFIG, at the start overridden by NODE_LISTEN and
+ * NODE_DISCOVERY. The module refers to classes, tenants, zones and kinds by their index in these lists.
  */
 public record Config(InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-        Known known, Settings settings, List<String> classes, List<String> tenants, List<String> zones,
-        List<String> kinds, long connectTimeoutNs, long keepAliveNs, long drainGraceNs) {
+        KnownList knownList, Settings settings, List<String> classes, List<String> tenants,
+        List<String> zones, List<String> kinds, long connectTimeoutNs, long keepAliveNs, long drainGraceNs) {
 
-    /** The list that a proxy starts with: it may be long, and is read from where it stands when needed. */
-    interface Known {
-        /** A parser in front of the list. */
+    /** The member list that a proxy starts with. It may be long, so it is parsed from the file on demand. */
+    interface KnownList {
+        /** Returns a parser positioned before the list. */
         JsonParser open() throws IOException;
     }
 
@@ -39,28 +38,28 @@
         try {
             root = Json.readWithout("known", Path.of(path));
         } catch (IOException e) {
-            // A parser's message runs over several lines; the first says what is wrong.
+            // The message of a parser spans several lines; the first one describes the error.
             throw new ConfigException("cannot read " + path + ": "
                     + e.getMessage().lines().findFirst().orElse(""));
         }
-        return parse(root, environment, () -> Json.open("known", Path.of(path)));
+        return parse(root, environment, () -> Json.openField("known", Path.of(path)));
     }
 
     /**
-     * The configuration as it is now. The environment is that of the start, so for what may change later,
-     * the address of discovery, the file wins.
+     * Reads the configuration again. The address of discovery, which may change while the proxy runs, is read
+     * from the file, since the environment still has the value from the start.
      */
     static Config reread(Map<String, String> environment) throws ConfigException {
-        Map<String, String> lasting = new HashMap<>(environment);
-        lasting.remove("NODE_DISCOVERY");
-        return read(lasting);
+        Map<String, String> withoutDiscovery = new HashMap<>(environment);
+        withoutDiscovery.remove("NODE_DISCOVERY");
+        return read(withoutDiscovery);
     }
 
     static Config parse(JsonNode root, Map<String, String> environment) throws ConfigException {
         return parse(root, environment, () -> root.path("known").traverse());
     }
 
-    private static Config parse(JsonNode root, Map<String, String> environment, Known known)
+    private static Config parse(JsonNode root, Map<String, String> environment, KnownList knownList)
             throws ConfigException {
         JsonNode settings = root.path("settings");
         Map<String, String> flat = new HashMap<>();
@@ -69,7 +68,7 @@
             return new Config(address("NODE_LISTEN", environment, root.path("listen")),
                     address("NODE_DISCOVERY", environment, root.path("discovery")),
                     Long.parseUnsignedLong(root.path("seed").asText("0"), 16),
-                    (int) positive(root, "/limits/sockets"), known,
+                    (int) positive(root, "/limits/sockets"), knownList,
                     ConfigParser.parse(flat).settings(), names(settings.path("profiles")),
                     names(settings.path("tenants")), names(settings.path("zones")),
                     names(settings.path("skus")), positive(settings, "/limits/connect_timeout_ns"),
@@ -81,7 +80,7 @@
         }
     }
 
-    /** The settings as the simulator's wire writes them: path to value. */
+    /** Flattens the settings into path and value, the form in which the simulator sends them. */
     private static void flatten(String path, JsonNode node, Map<String, String> flat) {
         String prefix = path.isEmpty() ? "" : path + ".";
         if (node.isObject()) {
@@ -117,12 +116,12 @@
         String text = environment.getOrDefault(variable, named.asText(""));
         InetSocketAddress address = address(text);
         if (address == null) {
-            throw new ConfigException(variable + " is no address and port: '" + text + "'");
+            throw new ConfigException(variable + " is not an address and port: '" + text + "'");
         }
         return address;
     }
 
-    /** An IP address and a port, with no look-up of names (there is no DNS); null if it is none. */
+    /** Parses an IP address and a port; returns null if invalid. Host names are not resolved (no DNS). */
     static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         InetAddress ip = NetUtil.createInetAddressFromIpAddressString(text.substring(0, Math.max(0, colon)));
--- a/src/main/java/dewstage/proxy/ConfigException.java
+++ b/src/main/java/dewstage/proxy/ConfigException.java
@@ -1,6 +1,6 @@
 package dewstage.proxy;
 
-/** A configuration that no proxy can start with; the message is one plain line. */
+/** Thrown when the configuration is missing or invalid. The message is a single line. */
 public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/dewstage/proxy/ConfigFileWatch.java
+++ b/src/main/java/dewstage/proxy/ConfigFileWatch.java
@@ -6,45 +6,45 @@
 import java.nio.file.attribute.BasicFileAttributes;
 
 /**
- * Looks at the configuration file for a change, on a thread of its own: for a process that was started with
- * SIGHUP ignored, as under nohup, since the runtime keeps an ignored signal ignored and calls no handler.
+ * Polls the configuration file for changes on a thread of its own. Used when the process was started with
+ * SIGHUP ignored, as under nohup: the runtime then keeps the signal ignored and calls no handler.
  */
 final class ConfigFileWatch {
-    /** Well within the 4 s after which a new configuration has to be in force. */
-    static final long LOOK_MS = 500;
+    /** Leaves most of the 4 s within which a new configuration has to be in force. */
+    static final long POLL_INTERVAL_MS = 500;
 
-    /** What tells one state of the file from another. */
-    private record State(Object key, long modifiedMs, long size) { }
+    /** Attributes that differ between two versions of the file. */
+    private record Fingerprint(Object key, long modifiedMs, long size) { }
 
     private final Path file;
-    private final Runnable changed;
-    private State last;
+    private final Runnable onChange;
+    private Fingerprint lastSeen;
 
-    private ConfigFileWatch(Path file, Runnable changed) {
+    private ConfigFileWatch(Path file, Runnable onChange) {
         this.file = file;
-        this.changed = changed;
-        this.last = state();
+        this.onChange = onChange;
+        this.lastSeen = fingerprint();
     }
 
-    /** Calls the action behind each change that a look finds; the thread does not keep the process alive. */
-    static void start(String file, Runnable changed) {
+    /** Calls the action after each detected change, on a daemon thread. */
+    static void start(String file, Runnable onChange) {
         if (file == null || file.isEmpty()) {
-            return; // a proxy that has none does not start
+            return; // the proxy does not start without a file
         }
-        ConfigFileWatch watch = new ConfigFileWatch(Path.of(file), changed);
-        Thread thread = new Thread(watch::look, "configuration");
+        ConfigFileWatch watch = new ConfigFileWatch(Path.of(file), onChange);
+        Thread thread = new Thread(watch::poll, "configuration");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void look() {
+    private void poll() {
         try {
             while (true) {
-                Thread.sleep(LOOK_MS);
-                State now = state();
-                if (now != null && !now.equals(last)) {
-                    last = now;
-                    changed.run();
+                Thread.sleep(POLL_INTERVAL_MS);
+                Fingerprint current = fingerprint();
+                if (current != null && !current.equals(lastSeen)) {
+                    lastSeen = current;
+                    onChange.run();
                 }
             }
         } catch (InterruptedException e) {
@@ -52,11 +52,11 @@
         }
     }
 
-    /** Null while there is none, as in the moment of a replacement. */
-    private State state() {
+    /** Returns null if the file is missing, as it may be for a moment while it is replaced. */
+    private Fingerprint fingerprint() {
         try {
-            BasicFileAttributes a = Files.readAttributes(file, BasicFileAttributes.class);
-            return new State(a.fileKey(), a.lastModifiedTime().toMillis(), a.size());
+            BasicFileAttributes current = Files.readAttributes(file, BasicFileAttributes.class);
+            return new Fingerprint(current.fileKey(), current.lastModifiedTime().toMillis(), current.size());
         } catch (IOException e) {
             return null;
         }
--- a/src/main/java/dewstage/proxy/HollowProxy.java
+++ b/src/main/java/dewstage/proxy/HollowProxy.java
@@ -12,25 +12,25 @@
 import java.util.function.LongConsumer;
 
 /**
- * The control side of one proxy and nothing else, so that one process holds many: the watch on discovery, the
- * decision module and its timers of a proxy that serves, on a loop that others may share. It has no listener
- * and calls no backend: an attempt that the module sends is answered here, as served, after a fixed time. It
- * stands in this package because the watch is known in it alone; a proxy in service does not load it.
+ * The control side of a proxy without its data path, so that one process can run many: the discovery watch,
+ * the decision module and its timers, on a loop that several may share. It has no listener and no connections
+ * to backends; every attempt is reported as served after a fixed time. It is in this package because the
+ * watch is package-private; a serving proxy does not load it.
  */
 public final class HollowProxy implements Balancer.Actions, Discovery.Listener {
-    /** Who hears what becomes of it. All is called on the loop of the proxy. */
+    /** Receives the events of the proxy, on its loop. */
     public interface Observer {
-        /** The module has taken in a list or changes: from now on they are in force. */
-        void inForce(ListKind kind, long version, List<Member> members);
+        /** The module has applied a list or changes to it. */
+        void onListApplied(ListKind kind, long version, List<Member> members);
 
-        /** The module has sent an attempt to the server with that id. */
-        void sent(int server);
+        /** The module has sent an attempt to the server with this number. */
+        void onAttemptSent(int server);
 
         /** The module has refused or failed a request. */
-        void turnedAway();
+        void onRequestRejected();
 
-        /** The module has thrown this. */
-        void broken(RuntimeException e);
+        /** The module has thrown an exception. */
+        void onModuleFailure(RuntimeException e);
     }
 
     private final EventLoop loop;
@@ -39,8 +39,8 @@
     private final Balancer balancer;
     private final long answerNs;
     private final Observer observer;
-    private int tickets;
-    private boolean stopped;
+    private int ticketCount;
+    private boolean isStopped;
 
     private HollowProxy(Config config, EventLoop loop, Balancer.Factory factory, long answerNs,
             Observer observer) {
@@ -52,40 +52,40 @@
     }
 
     /**
-     * Opens the watch. To be called on the loop.
+     * Creates a proxy and opens its watch. Must be called on the loop.
      *
-     * @param config of it the address of discovery, the seed and the settings count
-     * @param answerNs an attempt is answered so long after it was sent
+     * @param config only the address of discovery, the seed and the settings are used
+     * @param answerNs time from an attempt to its answer
      */
     public static HollowProxy start(Config config, EventLoop loop, Balancer.Factory factory, long answerNs,
             Observer observer) {
-        HollowProxy p = new HollowProxy(config, loop, factory, answerNs, observer);
-        p.discovery.watch(true);
-        return p;
+        HollowProxy proxy = new HollowProxy(config, loop, factory, answerNs, observer);
+        proxy.discovery.setWatching(true);
+        return proxy;
     }
 
-    /** A request comes whose client leaves after so long. To be called on the loop. */
-    public void request(int profile, long leftNs) {
-        int ticket = ++tickets;
-        enqueue(now -> balancer.onRequest(now, new Request(ticket, profile, 0, 0, leftNs, 0, false)));
+    /** Submits a request whose client gives up after the timeout. Must be called on the loop. */
+    public void request(int profile, long timeoutNs) {
+        int ticket = ++ticketCount;
+        enqueue(now -> balancer.onRequest(now, new Request(ticket, profile, 0, 0, timeoutNs, 0, false)));
     }
 
-    /** Ends the watch; timers that are set do nothing any more. To be called on the loop. */
+    /** Closes the watch and ignores pending timers. Must be called on the loop. */
     public void stop() {
-        stopped = true;
-        discovery.watch(false);
+        isStopped = true;
+        discovery.setWatching(false);
     }
 
-    /** Never from inside an action of the module: it is all told in a turn of its own. */
+    /** Runs each event in a loop task of its own, so that none reaches the module from within its actions. */
     private void enqueue(LongConsumer event) {
         loop.execute(() -> {
-            if (stopped) {
+            if (isStopped) {
                 return;
             }
             try {
                 event.accept(clock.now());
             } catch (RuntimeException e) {
-                observer.broken(e);
+                observer.onModuleFailure(e);
             }
         });
     }
@@ -95,38 +95,38 @@
         List<Member> members = listUpdate.members();
         enqueue(now -> {
             balancer.onMembers(now, listUpdate.kind(), listUpdate.version(), members);
-            observer.inForce(listUpdate.kind(), listUpdate.version(), members);
+            observer.onListApplied(listUpdate.kind(), listUpdate.version(), members);
         });
     }
 
     @Override
-    public void failed() {
+    public void onWatchFailed() {
         enqueue(now -> balancer.onMembers(now, ListKind.FAILED, 0, List.of()));
     }
 
     @Override
     public void send(int ticket, int server, long timeoutNs) {
-        observer.sent(server);
-        long sentAt = clock.now();
-        // It is served at the first attempt, and over with it: a second one never comes.
+        observer.onAttemptSent(server);
+        long sentAtNs = clock.now();
+        // The first attempt completes the request, so its index is always 0.
         loop.schedule(() -> enqueue(now -> balancer.onOutcome(now,
-                new Outcome(ticket, 0, server, Status.OK, now - sentAt, true, null))),
+                new Outcome(ticket, 0, server, Status.OK, now - sentAtNs, true, null))),
                 answerNs, TimeUnit.NANOSECONDS);
     }
 
     @Override
     public void refuse(int ticket, long retryInNs) {
-        observer.turnedAway();
+        observer.onRequestRejected();
     }
 
     @Override
     public void fail(int ticket) {
-        observer.turnedAway();
+        observer.onRequestRejected();
     }
 
     @Override
     public void cancel(int ticket, int attempt) {
-        // What is out is answered as served all the same.
+        // Attempts in flight are reported as served nevertheless.
     }
 
     @Override
@@ -137,12 +137,12 @@
 
     @Override
     public void closeIdle(int server) {
-        // It has no connections to backends.
+        // There are no connections to backends.
     }
 
     @Override
     public void subscribe(boolean on) {
-        discovery.watch(on);
+        discovery.setWatching(on);
     }
 
     @Override
@@ -157,11 +157,11 @@
 
     @Override
     public void tell(int peer, byte[] message) {
-        throw new UnsupportedOperationException("a hollow proxy talks to no peers");
+        throw new UnsupportedOperationException("a hollow proxy has no peers");
     }
 
     @Override
     public void reload() {
-        throw new UnsupportedOperationException("a hollow proxy watches, it does not ask once");
+        throw new UnsupportedOperationException("a hollow proxy keeps a watch and does not reload lists");
     }
 }
--- a/src/main/java/dewstage/proxy/LibraryLog.java
+++ b/src/main/java/dewstage/proxy/LibraryLog.java
@@ -5,25 +5,26 @@
 import java.util.logging.Logger;
 
 /**
- * Writes what libraries log as lines of the proxy's own log. The usual handler puts a date before each, and
- * for the first one loads time zones and locales from files: with no descriptor left that is an Error, which
- * ends the event loop, and done beforehand it costs a start more than a tenth of a second.
+ * Writes log records of libraries to the proxy's own log. The default handler formats a date, and for the
+ * first record loads time zones and locales from files: without a free descriptor that throws an Error, which
+ * ends the event loop, and loading them in advance would add more than a tenth of a second to the start.
  */
 final class LibraryLog extends Handler {
     static void install() {
         Logger root = Logger.getLogger("");
-        for (Handler h : root.getHandlers()) {
-            root.removeHandler(h);
+        for (Handler handler : root.getHandlers()) {
+            root.removeHandler(handler);
         }
         root.addHandler(new LibraryLog());
     }
 
     @Override
-    public void publish(LogRecord r) {
-        if (isLoggable(r)) {
-            Throwable thrown = r.getThrown();
+    public void publish(LogRecord logRecord) {
+        if (isLoggable(logRecord)) {
+            Throwable thrown = logRecord.getThrown();
             StackTraceElement[] trace = thrown == null ? new StackTraceElement[0] : thrown.getStackTrace();
-            Log.line(r.getLevel().getName() + " " + r.getMessage() + (thrown == null ? "" : ": " + thrown)
+            Log.line(logRecord.getLevel().getName() + " " + logRecord.getMessage()
+                    + (thrown == null ? "" : ": " + thrown)
                     + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
--- a/src/main/java/dewstage/proxy/Log.java
+++ b/src/main/java/dewstage/proxy/Log.java
@@ -1,6 +1,6 @@
 package dewstage.proxy;
 
-/** The log of the process: lines on standard error, each behind the time in milliseconds. */
+/** Writes log lines to standard error, each prefixed with the Unix time in milliseconds. */
 final class Log {
     private Log() { }
 
--- a/src/main/java/dewstage/proxy/Rehearsal.java
+++ b/src/main/java/dewstage/proxy/Rehearsal.java
@@ -31,56 +31,59 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Before a proxy says that it is ready, a throwaway one serves some requests that it makes up itself. Guards
- * against the first clients paying for loading and compiling: on half a core that took seconds, in which
- * most of their requests were late. It all stays in this process: no address is listened on before the
- * proxy serves, nobody from outside can come upon answers that are made up, and no system need offer
- * sockets for it. Discovery is not asked: a fleet that starts at once would cost it two calls for each
- * proxy, and what it tells a throwaway counts as told to the proxy.
+ * Warms up the process before the proxy reports ready: a temporary proxy serves synthetic requests. Without
+ * it, classes are loaded and compiled while the first clients wait; on half a core that took seconds, in
+ * which most of their requests were late. All connections are local to the process, so no address is bound
+ * before the proxy serves, nobody outside can receive a synthetic answer, and no sockets are needed.
+ * Discovery is not called: a fleet that starts at once would make two calls for each proxy, and what
+ * discovery sends to the temporary proxy would count as delivered to the real one.
  */
 final class Rehearsal {
-    private static final int CLIENTS = 6, BACKENDS = 4;
-    private static final int REQUEST_BYTES = 200, ANSWER_BYTES = 1000;
+    private static final int CLIENTS = 6;
+    private static final int BACKENDS = 4;
+    private static final int REQUEST_BYTES = 200;
+    private static final int ANSWER_BYTES = 1000;
     /**
-     * One answer in so many is an error. None says "full": to the module that is a jam of the whole zone, and
-     * on a slow start the rest of the rehearsal would be spent waiting for it to pass.
+     * One answer in this many is an error. None says that the backend is full: the module would take that
+     * for an overload of the whole zone, and on a slow start the rest of the rehearsal would pass while it
+     * waits for that to end.
      */
-    private static final int ODD_ANSWERS = 25;
+    private static final int ERROR_INTERVAL = 25;
 
     private final Config config;
     private final EventLoop loop;
     private final Proxy proxy;
-    private final int most;
+    private final int maxRequests;
     private final LocalAddress address = new LocalAddress(Rehearsal.class);
-    private final List<ChannelHandlerContext> ready = new ArrayList<>();
+    private final List<ChannelHandlerContext> connectedClients = new ArrayList<>();
     private final CompletableFuture<Integer> done = new CompletableFuture<>();
-    private int accepted;
-    private int asked;
-    private int answered;
-    private int served;
-    private int worked;
-
-    /** To be called on the loop. */
-    private Rehearsal(Config config, EventLoop loop, Balancer.Factory factory, int most) {
+    private int acceptedCount;
+    private int sentCount;
+    private int answeredCount;
+    private int servedCount;
+    private int backendRequestCount;
+
+    /** Must be called on the loop. */
+    private Rehearsal(Config config, EventLoop loop, Balancer.Factory factory, int maxRequests) {
         this.config = config;
         this.loop = loop;
         this.proxy = new Proxy(config, loop, factory, to -> bootstrap(), false, new Clock());
-        this.most = most;
+        this.maxRequests = maxRequests;
     }
 
-    /** Plays so many requests, or as many as the time allows; returns how many were served. */
-    static int run(Config config, Balancer.Factory factory, int requests, long mostMs) {
+    /** Sends this many requests, or as many as the time allows; returns the number of requests served. */
+    static int run(Config config, Balancer.Factory factory, int requests, long maxMs) {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, LocalIoHandler.newFactory());
         EventLoop loop = group.next();
         try {
             CompletableFuture<Integer> done = loop.submit(() -> {
-                Rehearsal r = new Rehearsal(config, loop, factory, requests);
-                r.begin(mostMs);
-                return r.done;
+                Rehearsal rehearsal = new Rehearsal(config, loop, factory, requests);
+                rehearsal.start(maxMs);
+                return rehearsal.done;
             }).get();
             return done.get();
         } catch (Exception e) {
-            Log.line("no rehearsal: " + e);
+            Log.line("rehearsal failed: " + e);
             return 0;
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.SECONDS).awaitUninterruptibly();
@@ -91,17 +94,17 @@
         return new Bootstrap().group(loop).channel(LocalChannel.class).remoteAddress(address);
     }
 
-    private void begin(long mostMs) {
-        loop.schedule(() -> done.complete(served), mostMs, TimeUnit.MILLISECONDS);
+    private void start(long maxMs) {
+        loop.schedule(() -> done.complete(servedCount), maxMs, TimeUnit.MILLISECONDS);
         ChannelFuture bound = new ServerBootstrap().group(loop).channel(LocalServerChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel c) {
-                        if (accepted++ < CLIENTS) {
+                        if (acceptedCount++ < CLIENTS) {
                             proxy.accept(c);
-                            begin(null);
+                            startWhenConnected(null);
                         } else {
-                            c.pipeline().addLast(new Backend());
+                            c.pipeline().addLast(new BackendHandler());
                         }
                     }
                 }).bind(address);
@@ -110,7 +113,7 @@
                 done.completeExceptionally(f.cause());
                 return;
             }
-            try (JsonParser list = list().traverse()) {
+            try (JsonParser list = memberList().traverse()) {
                 proxy.apply(list);
             }
             for (int i = 0; i < CLIENTS; i++) {
@@ -119,8 +122,8 @@
         });
     }
 
-    /** The backends that there seem to be, all in this zone; nobody is called at their address. */
-    private JsonNode list() {
+    /** The synthetic backends, all in the zone of the proxy. Their address is never connected to. */
+    private JsonNode memberList() {
         int zone = config.settings().zone();
         ObjectNode list = JsonNodeFactory.instance.objectNode().put("generation", 1).put("reset", true);
         ArrayNode instances = list.putArray("instances");
@@ -137,40 +140,41 @@
         bootstrap().handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel c) {
-                        c.pipeline().addLast(new Asking());
+                        c.pipeline().addLast(new ClientHandler());
                     }
                 }).connect();
     }
 
-    /** All clients begin together: whoever connects after them is the proxy, to its backends. */
-    private void begin(ChannelHandlerContext client) {
+    /** Starts all clients once the last has connected; later connections are those of the proxy to backends. */
+    private void startWhenConnected(ChannelHandlerContext client) {
         if (client != null) {
-            ready.add(client);
+            connectedClients.add(client);
         }
-        if (ready.size() == CLIENTS && accepted >= CLIENTS) {
-            ready.forEach(this::ask);
-            ready.clear();
+        if (connectedClients.size() == CLIENTS && acceptedCount >= CLIENTS) {
+            connectedClients.forEach(this::sendRequest);
+            connectedClients.clear();
         }
     }
 
-    private void ask(ChannelHandlerContext ctx) {
-        int place = asked++ % config.classes().size();
-        Profile p = config.settings().profiles().get(place);
-        boolean safe = p.effect() == Effect.IDEMPOTENT;
-        String id = "rehearsal-" + asked;
-        StringBuilder request = new StringBuilder(512).append(safe ? "GET /" : "POST /")
-                .append(config.classes().get(place)).append("/1 HTTP/1.1\r\nHost: rehearsal\r\nRequest-Id: ")
-                .append(id).append("\r\nRequest-Timeout: 1.000\r\nCookie: sid=").append(asked % 100);
-        if (p.effect() == Effect.DEDUPLICATED) {
+    private void sendRequest(ChannelHandlerContext ctx) {
+        int profileIndex = sentCount++ % config.classes().size();
+        Profile profile = config.settings().profiles().get(profileIndex);
+        boolean isIdempotent = profile.effect() == Effect.IDEMPOTENT;
+        String id = "rehearsal-" + sentCount;
+        StringBuilder request = new StringBuilder(512).append(isIdempotent ? "GET /" : "POST /")
+                .append(config.classes().get(profileIndex))
+                .append("/1 HTTP/1.1\r\nHost: rehearsal\r\nRequest-Id: ")
+                .append(id).append("\r\nRequest-Timeout: 1.000\r\nCookie: sid=").append(sentCount % 100);
+        if (profile.effect() == Effect.DEDUPLICATED) {
             request.append("\r\nIdempotency-Key: ").append(id);
         }
-        if (!safe) {
+        if (!isIdempotent) {
             request.append("\r\nContent-Length: ").append(REQUEST_BYTES);
         }
-        write(ctx, request.append("\r\n\r\n").append(safe ? "" : body(REQUEST_BYTES)));
+        write(ctx, request.append("\r\n\r\n").append(isIdempotent ? "" : body(REQUEST_BYTES)));
     }
 
-    /** All bodies here end with a line, which tells their end from that of a head. */
+    /** Every body ends with a newline without a carriage return, unlike the end of a head. */
     private static String body(int bytes) {
         return ".".repeat(bytes - 1) + "\n";
     }
@@ -180,68 +184,70 @@
     }
 
     /**
-     * A peer of the proxy. It writes what is ready-made and looks at the ends of what it reads: a codec in
-     * each would cost as much to run, and to compile, as the proxy that is to be warmed.
+     * A peer of the proxy. It writes prepared bytes and checks only the end of what it reads: an HTTP codec
+     * would take as much time to compile and run as the proxy that is being warmed up.
      */
-    private abstract static class Peer extends SimpleChannelInboundHandler<ByteBuf> {
-        private int first = -1;
+    private abstract static class PeerHandler extends SimpleChannelInboundHandler<ByteBuf> {
+        private int firstByte = -1;
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
             if (!bytes.isReadable()) {
-                return; // within a process an empty body comes as such
+                return; // local channels also deliver empty bodies
             }
-            first = first < 0 ? bytes.getByte(bytes.readerIndex()) : first;
-            int end = bytes.writerIndex();
-            boolean line = bytes.getByte(end - 1) == '\n';
-            boolean head = line && bytes.readableBytes() > 1 && bytes.getByte(end - 2) == '\r';
-            if (line && head == (first == 'G')) {
-                first = -1;
-                whole(ctx, bytes);
+            firstByte = firstByte < 0 ? bytes.getByte(bytes.readerIndex()) : firstByte;
+            int endIndex = bytes.writerIndex();
+            boolean endsWithNewline = bytes.getByte(endIndex - 1) == '\n';
+            boolean endsHead = endsWithNewline && bytes.readableBytes() > 1
+                    && bytes.getByte(endIndex - 2) == '\r';
+            if (endsWithNewline && endsHead == (firstByte == 'G')) {
+                firstByte = -1;
+                onMessageEnd(ctx, bytes);
             }
         }
 
-        /** A message has ended, with these bytes. */
-        abstract void whole(ChannelHandlerContext ctx, ByteBuf last);
+        /** Called with the last bytes of a message. */
+        abstract void onMessageEnd(ChannelHandlerContext ctx, ByteBuf last);
 
-        /** The proxy closes connections as it does to any peer. */
+        /** The proxy may close a connection at any time. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
         }
     }
 
-    /** A client: asks, waits for the answer, asks again. */
-    private final class Asking extends Peer {
+    /** A client that sends the next request when the previous one is answered. */
+    private final class ClientHandler extends PeerHandler {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            begin(ctx);
+            startWhenConnected(ctx);
         }
 
         @Override
-        void whole(ChannelHandlerContext ctx, ByteBuf last) {
-            served += last.getByte(last.writerIndex() - 2) == '.' ? 1 : 0;
-            if (++answered >= most) {
-                done.complete(served);
+        void onMessageEnd(ChannelHandlerContext ctx, ByteBuf last) {
+            servedCount += last.getByte(last.writerIndex() - 2) == '.' ? 1 : 0;
+            if (++answeredCount >= maxRequests) {
+                done.complete(servedCount);
             } else {
-                ask(ctx);
+                sendRequest(ctx);
             }
         }
     }
 
-    /** A backend: answers at once, now and then with an error. */
-    private final class Backend extends Peer {
+    /** A backend that answers at once, at regular intervals with an error. */
+    private final class BackendHandler extends PeerHandler {
         private final String body = body(ANSWER_BYTES);
 
         @Override
-        void whole(ChannelHandlerContext ctx, ByteBuf last) {
-            worked++;
-            boolean odd = worked % ODD_ANSWERS == 0;
+        void onMessageEnd(ChannelHandlerContext ctx, ByteBuf last) {
+            backendRequestCount++;
+            boolean isError = backendRequestCount % ERROR_INTERVAL == 0;
             StringBuilder answer = new StringBuilder(ANSWER_BYTES + 200).append("HTTP/1.1 ")
-                    .append(odd ? "500 Error" : "200 OK")
-                    .append("\r\nServer-Load: util=0.").append(worked % 9).append(",inflight=")
-                    .append(worked % 3).append(",eps=0\r\nContent-Length: ").append(odd ? 0 : ANSWER_BYTES);
-            write(ctx, answer.append("\r\n\r\n").append(odd ? "" : body));
+                    .append(isError ? "500 Error" : "200 OK")
+                    .append("\r\nServer-Load: util=0.").append(backendRequestCount % 9).append(",inflight=")
+                    .append(backendRequestCount % 3).append(",eps=0\r\nContent-Length: ")
+                    .append(isError ? 0 : ANSWER_BYTES);
+            write(ctx, answer.append("\r\n\r\n").append(isError ? "" : body));
         }
     }
 }
--- a/src/main/java/dewstage/proxy/Reload.java
+++ b/src/main/java/dewstage/proxy/Reload.java
@@ -3,11 +3,11 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the configuration anew and hands it over. Signals come on threads of their own: only one reads at a
- * time, and hands over before the next reads, so that the newest configuration is the last to take effect.
+ * Rereads the configuration and passes it on. Signal handlers run concurrently, so reading and passing on
+ * form one critical section: the last configuration to be passed on is the newest.
  */
 final class Reload {
-    /** Where the configuration comes from. */
+    /** Reads the current configuration. */
     interface Source {
         Config read() throws ConfigException;
     }
@@ -20,7 +20,7 @@
         this.target = target;
     }
 
-    /** One that cannot be read changes nothing. */
+    /** Logs and ignores a configuration that is invalid. */
     synchronized void run() {
         try {
             target.accept(source.read());
--- a/src/main/java/dewstage/proxy/Signals.java
+++ b/src/main/java/dewstage/proxy/Signals.java
@@ -7,8 +7,8 @@
 import java.nio.file.Path;
 
 /**
- * Signals that must not end the process. The runtime offers no public way to hear of SIGHUP, whose default is
- * to end it, so the class that most runtimes have is looked up by name.
+ * Handlers for signals that would otherwise end the process, such as SIGHUP. The runtime has no public API
+ * for this, so the internal class that most runtimes have is used by reflection.
  */
 final class Signals {
     /** The number of SIGHUP on Linux. */
@@ -16,8 +16,8 @@
 
     private Signals() { }
 
-    /** Was this process started with a signal ignored? False where the system does not tell. */
-    static boolean ignored(int number) {
+    /** Whether this process was started with the signal ignored; false if the system does not report it. */
+    static boolean isIgnored(int number) {
         try {
             return Files.readAllLines(Path.of("/proc/self/status")).stream()
                     .filter(line -> line.startsWith("SigIgn:"))
@@ -28,23 +28,24 @@
         }
     }
 
-    /** Calls the action at each such signal, on a thread of its own; false if that is not to be had. */
-    static boolean on(String name, Runnable action) {
+    /** Runs the action on a new thread at each such signal; returns false if that is not supported. */
+    static boolean installHandler(String name, Runnable action) {
         try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            InvocationHandler call = (self, method, arguments) -> switch (method.getName()) {
+            Class<?> signalType = Class.forName("sun.misc.Signal");
+            Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
+            InvocationHandler dispatch = (proxy, method, arguments) -> switch (method.getName()) {
                 case "handle" -> {
                     action.run();
                     yield null;
                 }
-                case "equals" -> self == arguments[0];
-                case "hashCode" -> System.identityHashCode(self);
+                case "equals" -> proxy == arguments[0];
+                case "hashCode" -> System.identityHashCode(proxy);
                 default -> "handler of SIG" + name;
             };
-            signal.getMethod("handle", signal, handler).invoke(null,
-                    signal.getConstructor(String.class).newInstance(name),
-                    Proxy.newProxyInstance(Signals.class.getClassLoader(), new Class<?>[] {handler}, call));
+            signalType.getMethod("handle", signalType, handlerType).invoke(null,
+                    signalType.getConstructor(String.class).newInstance(name),
+                    Proxy.newProxyInstance(Signals.class.getClassLoader(), new Class<?>[] {handlerType},
+                            dispatch));
             return true;
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
             return false;
