--- a/src/main/java/dewstage/proxy/Rehearsal.java
+++ b/src/main/java/dewstage/proxy/Rehearsal.java
@@ -145,7 +145,7 @@
                 }).connect();
     }
 
-    /** Starts all clients once the last has connected; later connections are those of the proxy to backends. */
+    /** Starts all clients once they are connected; later connections are from the proxy to backends. */
     private void startWhenConnected(ChannelHandlerContext client) {
         if (client != null) {
             connectedClients.add(client);
--- a/src/test/java/dewstage/proxy/JsonTest.java
+++ b/src/test/java/dewstage/proxy/JsonTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The tree that is read is the one that Jackson's own mapper makes. */
+/** Checks that trees equal those of Jackson's ObjectMapper, and that invalid JSON is rejected. */
 class JsonTest {
     @TempDir
     Path folder;
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void allKindsOfValuesAreRead() throws Exception {
+    void valuesOfAllTypesAreRead() throws Exception {
         String text = "{\"a\":[1,-2.5,true,false,null,\"x\\u00e9\",[],{}],\"b\":{\"c\":12345678901},"
                 + "\"d\":123456789012345678901234567890,\"a2\":\"\"}";
         assertEquals(new ObjectMapper().readTree(text).toString(), Json.read(bytes(text)).toString());
@@ -36,24 +36,24 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"{\"a\":", "[1,", "{\"a\":1", "{a:1}", "nonsense"})
-    void whatIsNoJsonIsRefused(String text) {
+    void invalidJsonIsRejected(String text) {
         assertThrows(IOException.class, () -> Json.read(bytes(text)));
     }
 
     @Test
-    void endlessDepthIsRefused() {
+    void excessiveNestingIsRejected() {
         assertThrows(IOException.class, () -> Json.read(bytes("[".repeat(100_000))));
     }
 
-    /** The list that a proxy starts with is long: no tree of it is made, wherever it stands. */
+    /** The known list may be long, so no tree of it is built, wherever the field is in the file. */
     @ParameterizedTest
     @ValueSource(strings = {"{\"known\":{\"a\":[1]},\"b\":{\"known\":2},\"c\":[3]}",
         "{\"b\":{\"known\":2},\"known\":{\"a\":[1]},\"c\":[3]}",
         "{\"b\":{\"known\":2},\"c\":[3],\"known\":{\"a\":[1]}}"})
-    void aFieldOfAFileIsLeftOutAndReadByItself(String text) throws Exception {
+    void aFieldOfAFileIsOmittedAndReadSeparately(String text) throws Exception {
         Path file = Files.writeString(folder.resolve("config.json"), text);
         assertEquals("{\"b\":{\"known\":2},\"c\":[3]}", Json.readWithout("known", file).toString());
-        try (JsonParser known = Json.open("known", file); JsonParser none = Json.open("d", file)) {
+        try (JsonParser known = Json.openField("known", file); JsonParser none = Json.openField("d", file)) {
             assertEquals(JsonToken.START_OBJECT, known.nextToken());
             assertEquals("a", known.nextFieldName());
             assertNull(none.nextToken());
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void nothingIsNoObject() throws Exception {
+    void emptyInputIsAMissingNode() throws Exception {
         assertTrue(Json.read(bytes(" ")).isMissingNode());
     }
 }
--- a/src/test/java/dewstage/proxy/MembershipTest.java
+++ b/src/test/java/dewstage/proxy/MembershipTest.java
@@ -25,28 +25,28 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What is told of lists, however they come, against what they say. */
+/** Compares the updates made from lists, in any form and order, with the contents of the lists. */
 class MembershipTest {
     private Membership membership = new Membership(Long.MAX_VALUE);
     private Config config;
 
     @BeforeEach
-    void read() throws Exception {
+    void readConfig() throws Exception {
         config = Config.parse(Setup.json("127.0.0.1:1", "127.0.0.1:2", 1024, 100), Map.of());
     }
 
-    /** What comes of a text in pieces of so many bytes. */
-    private List<Discovery.ListUpdate> read(String text, int piece) throws IOException {
-        ListReader lists = new ListReader(membership, config);
+    /** Reads a text in pieces of this size; returns the updates. */
+    private List<Discovery.ListUpdate> read(String text, int pieceBytes) throws IOException {
+        ListReader reader = new ListReader(membership, config);
         List<Discovery.ListUpdate> updates = new ArrayList<>();
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        try (Json.Stream stream = new Json.Stream()) {
-            for (int i = 0; i < bytes.length; i += piece) {
-                byte[] part = Arrays.copyOfRange(bytes, i, Math.min(bytes.length, i + piece));
+        try (Json.TokenStream stream = new Json.TokenStream()) {
+            for (int i = 0; i < bytes.length; i += pieceBytes) {
+                byte[] part = Arrays.copyOfRange(bytes, i, Math.min(bytes.length, i + pieceBytes));
                 stream.feed(part, (parser, token) -> {
-                    Discovery.ListUpdate n = lists.take(parser, token);
-                    if (n != null) {
-                        updates.add(n);
+                    Discovery.ListUpdate update = reader.accept(parser, token);
+                    if (update != null) {
+                        updates.add(update);
                     }
                 });
             }
@@ -54,13 +54,13 @@
         return updates;
     }
 
-    private Discovery.ListUpdate one(String text) throws IOException {
+    private Discovery.ListUpdate readOne(String text) throws IOException {
         List<Discovery.ListUpdate> updates = read(text, text.length());
         assertEquals(1, updates.size());
         return updates.get(0);
     }
 
-    private static String entry(String id, int cell, String lifecycle, int weight) {
+    private static String entryJson(String id, int cell, String lifecycle, int weight) {
         return """
                 {"instanceId":"%s","later":{"a":[{"instances":[]}],"cell":7},"hostPort":"10.0.0.%d:%d",
                 "zone":"b","machineType":"m2","cell":%d,"lifecycle":"%s","weight":%d,"startedAtMs":5,
@@ -68,146 +68,152 @@
                 """.formatted(id, cell, 9000 + weight, cell, lifecycle, weight);
     }
 
-    private static String list(boolean whole, boolean late, String entries) {
-        String head = "\"generation\":7,\"x\":{\"generation\":[{}]},\"reset\":" + whole;
-        return "{" + (late ? "" : head + ",") + "\"instances\":[" + entries + "]" + (late ? "," + head : "")
-                + "}";
+    private static String listJson(boolean isFullList, boolean isHeadLast, String entries) {
+        String head = "\"generation\":7,\"x\":{\"generation\":[{}]},\"reset\":" + isFullList;
+        return "{" + (isHeadLast ? "" : head + ",") + "\"instances\":[" + entries + "]"
+                + (isHeadLast ? "," + head : "") + "}";
     }
 
-    private static String entries(int from, int to) {
+    private static String entriesJson(int from, int to) {
         List<String> entries = new ArrayList<>();
         for (int i = from; i < to; i++) {
-            entries.add(entry("more-" + i, i & 255, "in_service", 1));
+            entries.add(entryJson("more-" + i, i & 255, "in_service", 1));
         }
         return String.join(",", entries);
     }
 
-    /** The first two ids that wish for one number. */
-    private static List<String> ofOneNumber() {
+    /** Returns the first two ids with the same preferred number. */
+    private static List<String> collidingIds() {
         Map<Integer, String> seen = new HashMap<>();
         for (int i = 0;; i++) {
-            String other = seen.put(Entries.number("s-" + i), "s-" + i);
+            String other = seen.put(Entries.preferredNumber("s-" + i), "s-" + i);
             if (other != null) {
                 return List.of(other, "s-" + i);
             }
         }
     }
 
-    /** Lists of all kinds in any order, some cut short: after each, what was told is what the lists say. */
+    /** Reads random lists, some truncated. After each, all updates together equal the current list. */
     @Test
-    void whatIsToldAddsUpToWhatIsListedAndNothingIsToldTwice() throws Exception {
-        List<String> ids = new ArrayList<>(ofOneNumber());
+    void updatesAddUpToTheListAndRepeatNothing() throws Exception {
+        List<String> ids = new ArrayList<>(collidingIds());
         ids.addAll(List.of("a", "b", "c", "d"));
-        Map<Integer, String> listed = new TreeMap<>(); // by place in the ids, which is the cell
-        Map<Integer, Discovery.Listed> told = new HashMap<>();
+        Map<Integer, String> expected = new TreeMap<>(); // by index of the id, which is also the cell
+        Map<Integer, Discovery.ListedBackend> received = new HashMap<>();
         Random random = new Random(11);
         Set<ListKind> kinds = new HashSet<>();
         for (int round = 0; round < 3000; round++) {
-            boolean whole = random.nextInt(3) == 0;
-            boolean cut = random.nextInt(4) == 0;
-            Map<Integer, String> next = whole ? new TreeMap<>() : new TreeMap<>(listed);
-            List<String> entries = new ArrayList<>();
+            boolean isFullList = random.nextInt(3) == 0;
+            boolean isTruncated = random.nextInt(4) == 0;
+            Map<Integer, String> next = isFullList ? new TreeMap<>() : new TreeMap<>(expected);
+            List<String> instances = new ArrayList<>();
             for (int i = random.nextInt(8); i > 0; i--) {
                 int cell = random.nextInt(ids.size());
                 String state = List.of("in_service", "in_service", "terminating", "terminated")
                         .get(random.nextInt(4));
                 int weight = 1 + random.nextInt(2);
-                entries.add(entry(ids.get(cell), cell, state, weight));
+                instances.add(entryJson(ids.get(cell), cell, state, weight));
                 if (state.equals("terminated")) {
                     next.remove(cell);
                 } else {
                     next.put(cell, state + weight);
                 }
             }
-            String text = list(whole, random.nextBoolean(), String.join(",", entries));
-            int end = cut ? random.nextInt(text.length()) : text.length();
+            String text = listJson(isFullList, random.nextBoolean(), String.join(",", instances));
+            int end = isTruncated ? random.nextInt(text.length()) : text.length();
             List<Discovery.ListUpdate> updates = read(text.substring(0, end), 1 + random.nextInt(90));
-            assertEquals(cut ? 0 : 1, updates.size());
-            listed = cut ? listed : next;
-            for (Discovery.ListUpdate n : updates) {
-                kinds.add(n.kind());
-                for (Discovery.Listed l : n.list()) {
-                    Discovery.Listed before = told.get(l.member().id());
-                    assertTrue(before == null || !before.same(l), "told twice");
-                    assertEquals(l.member().cell(),
-                            before == null ? l.member().cell() : before.member().cell(),
-                            "a number went over from one to another");
-                    assertTrue(before != null || l.member().state() != State.GONE);
-                    told.put(l.member().id(), l);
+            assertEquals(isTruncated ? 0 : 1, updates.size());
+            expected = isTruncated ? expected : next;
+            for (Discovery.ListUpdate update : updates) {
+                kinds.add(update.kind());
+                for (Discovery.ListedBackend backend : update.entries()) {
+                    Discovery.ListedBackend before = received.get(backend.member().id());
+                    assertTrue(before == null || !before.isSameAs(backend),
+                            "an unchanged entry was reported again");
+                    assertEquals(backend.member().cell(),
+                            before == null ? backend.member().cell() : before.member().cell(),
+                            "a number was reassigned to another backend");
+                    assertTrue(before != null || backend.member().state() != State.GONE);
+                    received.put(backend.member().id(), backend);
                 }
-                told.values().removeIf(l -> l.member().state() == State.GONE);
+                received.values().removeIf(backend -> backend.member().state() == State.GONE);
             }
-            Map<Integer, String> said = new TreeMap<>();
-            told.values().forEach(l -> assertNull(said.put(l.member().cell(),
-                    (l.member().state() == State.READY ? "in_service" : "terminating")
-                            + (l.address().getPort() - 9000)), "one backend under two numbers"));
-            assertEquals(listed, said, "round " + round);
-            assertEquals(listed.size(), membership.size());
+            Map<Integer, String> actual = new TreeMap<>();
+            received.values().forEach(backend -> assertNull(actual.put(backend.member().cell(),
+                    (backend.member().state() == State.READY ? "in_service" : "terminating")
+                            + (backend.address().getPort() - 9000)), "one backend has two numbers"));
+            assertEquals(expected, actual, "round " + round);
+            assertEquals(expected.size(), membership.size());
         }
-        assertEquals(Set.of(ListKind.FULL, ListKind.DELTA), kinds, "the first whole list, and what differs");
+        assertEquals(Set.of(ListKind.FULL, ListKind.DELTA), kinds, "the first full list, then differences");
     }
 
     @Test
-    void twoIdsOfOneHashAreTwoBackendsAlsoOnceTheFirstHasLeft() throws Exception {
-        List<String> ids = ofOneNumber();
-        Discovery.ListUpdate both = one(list(true, false, entry(ids.get(0), 1, "in_service", 1) + ","
-                + entry(ids.get(1), 2, "in_service", 1)));
-        int second = both.list().get(1).member().id();
-        assertNotEquals(both.list().get(0).member().id(), second);
-        one(list(false, false, entry(ids.get(0), 1, "terminated", 1)));
-        Discovery.ListUpdate moved = one(list(false, false, entry(ids.get(1), 2, "in_service", 2)));
-        assertEquals(second, moved.list().get(0).member().id());
+    void idsWithCollidingHashesKeepTheirNumbersAfterOneLeaves() throws Exception {
+        List<String> ids = collidingIds();
+        Discovery.ListUpdate update = readOne(listJson(true, false,
+                entryJson(ids.get(0), 1, "in_service", 1) + "," + entryJson(ids.get(1), 2, "in_service", 1)));
+        int second = update.entries().get(1).member().id();
+        assertNotEquals(update.entries().get(0).member().id(), second);
+        readOne(listJson(false, false, entryJson(ids.get(0), 1, "terminated", 1)));
+        Discovery.ListUpdate moved =
+                readOne(listJson(false, false, entryJson(ids.get(1), 2, "in_service", 2)));
+        assertEquals(second, moved.entries().get(0).member().id());
         assertEquals(1, membership.size());
     }
 
     @Test
-    void anEntryIsHeldOnceAndIsTheOneThatTheModuleGets() throws Exception {
-        Discovery.ListUpdate first = one(list(true, true, entries(0, 3)));
-        Member m = first.members().get(1);
-        assertEquals(new Member(m.id(), 1, State.READY, 5_000_000, 1, 1, 1), m);
-        assertEquals("/10.0.0.1:9001", first.list().get(1).address().toString());
-        assertEquals(List.of(), one(list(true, true, entries(0, 3))).list());
-        Discovery.Listed six = new Discovery.Listed(m, Config.address("[2001:db8::1]:80"));
-        assertEquals(Config.address("[2001:db8::1]:80"), six.address());
-        assertTrue(!six.same(new Discovery.Listed(m, Config.address("[2001:db8::2]:80"))));
+    void anEntryIsConvertedToAMemberAndReportedOnce() throws Exception {
+        Discovery.ListUpdate first = readOne(listJson(true, true, entriesJson(0, 3)));
+        Member member = first.members().get(1);
+        assertEquals(new Member(member.id(), 1, State.READY, 5_000_000, 1, 1, 1), member);
+        assertEquals("/10.0.0.1:9001", first.entries().get(1).address().toString());
+        assertEquals(List.of(), readOne(listJson(true, true, entriesJson(0, 3))).entries());
+        Discovery.ListedBackend ipv6Backend =
+                new Discovery.ListedBackend(member, Config.address("[2001:db8::1]:80"));
+        assertEquals(Config.address("[2001:db8::1]:80"), ipv6Backend.address());
+        assertTrue(!ipv6Backend.isSameAs(
+                new Discovery.ListedBackend(member, Config.address("[2001:db8::2]:80"))));
     }
 
     @Test
-    void whatFitsIsTakenAgainAndAgainAndWhatDoesNotLeavesTheOldStanding() throws Exception {
-        membership = new Membership(100 * 470); // 160 each here, 300 in the module, and the id's letters
-        String most = list(true, true, entries(0, 98));
-        assertEquals(98, one(most).list().size());
+    void repeatedListsFitAndListsThatAreTooLargeChangeNothing() throws Exception {
+        membership = new Membership(100 * 470); // per entry: 160, 300 in the module, and the chars of the id
+        String largest = listJson(true, true, entriesJson(0, 98));
+        assertEquals(98, readOne(largest).entries().size());
         for (int i = 0; i < 5; i++) {
-            assertEquals(0, one(most).list().size());
-            assertThrows(TooLargeException.class, () -> one(list(true, false, entries(0, 103))));
-            assertThrows(TooLargeException.class, () -> one(list(true, false, entries(50, 150))));
+            assertEquals(0, readOne(largest).entries().size());
+            assertThrows(TooLargeException.class, () -> readOne(listJson(true, false, entriesJson(0, 103))));
+            assertThrows(TooLargeException.class, () -> readOne(listJson(true, false, entriesJson(50, 150))));
             assertThrows(StreamConstraintsException.class,
-                    () -> one(list(false, false, entry("x".repeat(1 << 20), 1, "in_service", 1))));
+                    () -> readOne(listJson(false, false,
+                            entryJson("x".repeat(1 << 20), 1, "in_service", 1))));
         }
         assertEquals(98, membership.size());
-        assertEquals(97, one(list(true, false, entries(0, 1))).list().size());
-        assertEquals(97, one(most).list().size(), "room was given back");
+        assertEquals(97, readOne(listJson(true, false, entriesJson(0, 1))).entries().size());
+        assertEquals(97, readOne(largest).entries().size(), "memory was released");
     }
 
-    /** The least time of the thread's own, of some, that a list of so many entries takes when heard again. */
-    private long heardAgainNs(int entries) throws IOException {
-        String text = list(true, false, entries(0, entries));
+    /** Returns the shortest CPU time of several runs to read an unchanged list of this length again. */
+    private long repeatedListNs(int entryCount) throws IOException {
+        String text = listJson(true, false, entriesJson(0, entryCount));
         membership = new Membership(Long.MAX_VALUE);
-        assertEquals(entries, one(text).list().size());
-        long least = Long.MAX_VALUE;
+        assertEquals(entryCount, readOne(text).entries().size());
+        long shortestNs = Long.MAX_VALUE;
         for (int i = 0; i < 5; i++) {
-            long before = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
-            assertEquals(0, one(text).list().size());
-            least = Math.min(least, ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - before);
+            long beforeNs = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
+            assertEquals(0, readOne(text).entries().size());
+            shortestNs = Math.min(shortestNs,
+                    ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - beforeNs);
         }
-        return least;
+        return shortestNs;
     }
 
     @Test
-    void aWholeListHeardAgainCostsByItsLengthAndNotByTheSquare() throws Exception {
-        heardAgainNs(2000); // loads and compiles
-        long few = heardAgainNs(1000);
-        long many = heardAgainNs(16_000);
-        assertTrue(many < 64 * few, "16 times the entries, " + many / few + " times the work");
+    void theCostOfARepeatedFullListIsNotQuadraticInItsLength() throws Exception {
+        repeatedListNs(2000); // warm-up
+        long smallNs = repeatedListNs(1000);
+        long largeNs = repeatedListNs(16_000);
+        assertTrue(largeNs < 64 * smallNs, "16 times the entries, " + largeNs / smallNs + " times the work");
     }
 }
--- a/src/test/java/dewstage/proxy/RehearsalTest.java
+++ b/src/test/java/dewstage/proxy/RehearsalTest.java
@@ -17,16 +17,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a proxy plays before it serves. */
+/** Checks the warm-up of a proxy. */
 @Timeout(60)
 class RehearsalTest {
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
-    void requestsAreServedAndNobodyOutsideIsInvolved(String how) throws Exception {
+    void requestsAreServedWithoutExternalConnections(String discoveryMode) throws Exception {
         try (Peer discovery = new Peer(); Peer backend = new Peer(); Peer listen = new Peer()) {
             String json = Setup.json(discovery.hostPort(), backend.hostPort(), 1024, 5000).toString()
-                    .replace("127.0.0.1:0", listen.hostPort()) // taken: it must not be needed yet
-                    .replace("\"pushed\"", "\"" + how + "\"")
+                    .replace("127.0.0.1:0", listen.hostPort()) // in use, so the rehearsal must not bind it
+                    .replace("\"pushed\"", "\"" + discoveryMode + "\"")
                     .replace("\"rules\":{", "\"rules\":{\"ask_within_ns\":10000000000,");
             Config config = Config.parse(new ObjectMapper().readTree(json), Map.of());
             int served = Rehearsal.run(config, Policy::new, 60, 30_000);
@@ -35,23 +35,23 @@
         }
     }
 
-    /** "Full" is a jam to the module: on a slow start nothing more would be rehearsed until it has passed. */
+    /** Status FULL is an overload to the module, which would then hold back requests on a slow start. */
     @Test
-    void nothingInItJamsTheModule() throws Exception {
+    void noAnswerHasStatusFull() throws Exception {
         try (Peer discovery = new Peer(); Peer backend = new Peer()) {
-            Set<Status> seen = ConcurrentHashMap.newKeySet();
+            Set<Status> statuses = ConcurrentHashMap.newKeySet();
             Rehearsal.run(Setup.config(discovery, backend), (settings, seed, now, out) -> {
                 Balancer policy = new Policy(settings, seed, now, out);
                 return (Balancer) Proxy.newProxyInstance(Balancer.class.getClassLoader(),
                         new Class<?>[] {Balancer.class}, (proxy, method, args) -> {
                             if (method.getName().equals("onOutcome")) {
-                                seen.add(((Outcome) args[1]).status());
+                                statuses.add(((Outcome) args[1]).status());
                             }
                             return method.invoke(policy, args);
                         });
             }, 150, 30_000);
-            assertTrue(seen.containsAll(Set.of(Status.OK, Status.ERROR)), "saw " + seen);
-            assertFalse(seen.contains(Status.FULL), "saw " + seen);
+            assertTrue(statuses.containsAll(Set.of(Status.OK, Status.ERROR)), "statuses " + statuses);
+            assertFalse(statuses.contains(Status.FULL), "statuses " + statuses);
         }
     }
 }
