--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Builds, and records the classes that a rehearsal loads: with them the proxy starts in a fraction of the time.
+# Builds the jar and an archive of the classes that a rehearsal loads, with which a proxy starts in a fraction of the time.
 set -eu
 mvn -B -ntp -q -Dmaven.test.skip=true package
 rm -f target/dewstage.jsa
--- a/deploy/serve.sh
+++ b/deploy/serve.sh
@@ -1,12 +1,12 @@
 #!/bin/sh
-# Starts one real proxy. The heap follows the limit on memory in NODE_CONFIG: what the runtime needs beside it,
-# measured, is about 56 MB. It is touched at the start, so that memory does not seem to grow in service. A list of
-# tens of thousands of backends needs more than the 64 MB at the most that are touched: where the limit leaves room
-# the heap may grow by half of that, and the longest list that is taken in follows from it.
-# While a proxy starts, the others carry its load. Most of a start is code that still runs in the interpreter, so
-# it is compiled sooner than by default.
+# Starts one proxy. The heap size follows from the memory limit in NODE_CONFIG: the runtime needs about 56 MB besides
+# the heap. The initial heap, at most 64 MB, is touched at the start so that memory does not seem to grow in service.
+# A list of tens of thousands of backends needs more than that, so with a sufficient limit the heap may grow by half;
+# the maximum heap size also determines the longest list that a proxy accepts.
+# While a proxy starts, the others carry its load. Most of that time is spent in interpreted code, so code is compiled
+# sooner than by default.
 set -eu
-# The shell reads the limit itself: in some places a proxy may start no other program. The last line may lack its end.
+# Reads the limit without other programs, since some environments allow none. The last line may lack a newline.
 mb=
 while [ -z "$mb" ] && { read -r line || [ -n "$line" ]; }; do
     case $line in
