--- a/src/test/java/dewstage/faults/DiscoveryQueueTest.java
+++ b/src/test/java/dewstage/faults/DiscoveryQueueTest.java
@@ -19,7 +19,7 @@
     void aFleetCallingASlowDiscoveryIsUpdatedWithinOneCallPerProxy(
             int proxies, boolean pushed, long fleetCallTimeMs) throws Exception {
         Duration fleetCallTime = Duration.ofMillis(fleetCallTimeMs);
-        for (QueueScenario.Outcome outcome : new QueueScenario(proxies, pushed, fleetCallTime, null).play()) {
+        for (QueueScenario.Outcome outcome : new QueueScenario(proxies, pushed, fleetCallTime, null).run()) {
             assertAll(
                     outcome.toString(),
                     () -> assertEquals(proxies, outcome.updated(), "proxies updated in time"),
--- a/src/test/java/dewstage/faults/QueueScenario.java
+++ b/src/test/java/dewstage/faults/QueueScenario.java
@@ -44,7 +44,7 @@
     private static final int LOOPS = 4;
 
     /** Runs both phases. */
-    List<Outcome> play() throws Exception {
+    List<Outcome> run() throws Exception {
         ServerList list = new ServerList();
         list.add("s-1", "127.0.0.1:9");
         List<Outcome> outcomes = new ArrayList<>();
--- a/src/test/java/dewstage/faults/QueueTable.java
+++ b/src/test/java/dewstage/faults/QueueTable.java
@@ -41,7 +41,7 @@
                             pushed,
                             toDuration(seconds),
                             refuseAfterSeconds == null ? null : toDuration(refuseAfterSeconds));
-            for (QueueScenario.Outcome outcome : scenario.play()) {
+            for (QueueScenario.Outcome outcome : scenario.run()) {
                 System.out.printf(
                         "%7d %-6s %14.1f  %-7s %12d %7.2f %6d %7d %7d%n",
                         proxies,
--- a/src/test/java/dewstage/proxy/DiscoveryCallTimingTest.java
+++ b/src/test/java/dewstage/proxy/DiscoveryCallTimingTest.java
@@ -124,8 +124,8 @@
     }
 
     /** Advances the clock until the module makes another call. */
-    private void advanceUntilCall(int[] calls, int before) {
-        while (calls[0] == before) {
+    private void advanceUntilCall(int[] calls, int previousCalls) {
+        while (calls[0] == previousCalls) {
             ticker.advanceMillis(5);
             loop.runNow();
         }
@@ -142,8 +142,8 @@
             try (Peer discovery = new Peer(); Peer backend = new Peer()) {
                 int[] calls = new int[1];
                 new Proxy(onRequestConfig(discovery, backend, askWithinMs, balancers, seed), loop,
-                        (settings, s, now, out) ->
-                                recording(new Policy(settings, s, now, countingCalls(out, calls))),
+                        (settings, s, now, actions) ->
+                                recording(new Policy(settings, s, now, countingCalls(actions, calls))),
                         Backends.tcp(loop), true, clock);
                 for (int i = 0; i < FAILURES; i++) { // until the pauses are at their maximum
                     refuse(acceptCall(discovery));
@@ -165,27 +165,26 @@
                 "the next call came after " + longestMs + " ms");
     }
 
-    private static Balancer.Actions countingCalls(Balancer.Actions out, int[] calls) {
+    private static Balancer.Actions countingCalls(Balancer.Actions actions, int[] calls) {
         return (Balancer.Actions) java.lang.reflect.Proxy.newProxyInstance(Balancer.class.getClassLoader(),
                 new Class<?>[] {Balancer.Actions.class}, (proxy, method, args) -> {
                     calls[0] += method.getName().equals("subscribe") ? 1 : 0;
-                    return method.invoke(out, args);
+                    return method.invoke(actions, args);
                 });
     }
 
     private Discovery startWatching(Peer discovery, Peer backend) throws ConfigException {
         JsonNode root = Setup.json(discovery.hostPort(), backend.hostPort(), 1024, 5000);
         ((ObjectNode) root.at("/settings/rules")).put("drain_grace_ns", 60_000_000_000L);
-        Discovery discoveryClient = new Discovery(loop, Config.parse(root, Map.of()),
-                new Discovery.Listener() {
+        Discovery client = new Discovery(loop, Config.parse(root, Map.of()), new Discovery.Listener() {
             @Override
             public void onListUpdate(Discovery.ListUpdate listUpdate) { }
 
             @Override
             public void onWatchFailed() { }
         });
-        discoveryClient.setWatching(true);
-        return discoveryClient;
+        client.setWatching(true);
+        return client;
     }
 
     private void advance(long ms) {
--- a/src/test/java/dewstage/proxy/DiscoveryTest.java
+++ b/src/test/java/dewstage/proxy/DiscoveryTest.java
@@ -25,11 +25,11 @@
 class DiscoveryTest extends LoopbackTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    private int knownBackend;
+    private int knownBackendId;
 
     @BeforeEach
     void awaitKnownList() throws Exception {
-        knownBackend = server;
+        knownBackendId = server;
         assertEquals(ListKind.CACHED, setup.next("kind", ListKind.class));
     }
 
@@ -37,11 +37,11 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    private String listJson(int generation, boolean whole, String id, String lifecycle) {
+    private String listJson(int generation, boolean isFullList, String id, String lifecycle) {
         return """
                 {"generation":%d,"reset":%b,"instances":[{"instanceId":"%s","hostPort":"%s","zone":"b",\
                 "machineType":"m2","cell":3,"lifecycle":"%s","weight":0.5,"startedAtMs":1700000000000}]}
-                """.formatted(generation, whole, id, backend.hostPort(), lifecycle);
+                """.formatted(generation, isFullList, id, backend.hostPort(), lifecycle);
     }
 
     private Member awaitMember() throws Exception {
@@ -55,7 +55,7 @@
         String line = listJson(42, false, "s-1", "terminating");
         watch.write(HEAD + chunk("\n" + line.substring(0, 30)) + chunk(line.substring(30)));
         Member member = awaitMember();
-        assertEquals(new Member(knownBackend, 1, State.DRAINING, 1_700_000_000_000_000_000L, 3, 1, 0.5),
+        assertEquals(new Member(knownBackendId, 1, State.DRAINING, 1_700_000_000_000_000_000L, 3, 1, 0.5),
                 member);
         assertEquals(ListKind.DELTA, setup.next("kind", ListKind.class));
         String truncated = listJson(43, false, "s-1", "in_service").trim();
@@ -65,10 +65,10 @@
         second.write(HEAD + chunk(listJson(44, true, "s-2", "in_service")));
         List<?> changes = setup.next("members", List.class);
         assertEquals(2, changes.size());
-        assertNotEquals(knownBackend, ((Member) changes.get(0)).id());
+        assertNotEquals(knownBackendId, ((Member) changes.get(0)).id());
         assertEquals(State.READY, ((Member) changes.get(0)).state());
         // Missing from the full list, so it is reported as gone.
-        assertEquals(new Member(knownBackend, 1, State.GONE, 1_700_000_000_000_000_000L, 3, 1, 0.5),
+        assertEquals(new Member(knownBackendId, 1, State.GONE, 1_700_000_000_000_000_000L, 3, 1, 0.5),
                 changes.get(1));
         assertEquals(ListKind.DELTA, setup.next("kind", ListKind.class));
     }
@@ -81,7 +81,7 @@
         String truncated = listJson(42, false, "s-1", "terminating").trim();
         watch.write(HEAD + chunk(truncated.substring(0, truncated.length() - 2))).close();
         Member member = awaitMember();
-        assertEquals(knownBackend, member.id());
+        assertEquals(knownBackendId, member.id());
         assertEquals(State.DRAINING, member.state());
         assertTrue(discovery.accept().read().startsWith("GET /catalog/members?stream=1&index=41 "));
     }
@@ -277,7 +277,7 @@
         try (Peer.Wire client = setup.client()) {
             client.write(Setup.get());
             Request r = setup.request();
-            setup.act(() -> setup.actions.send(r.ticket(), knownBackend, 0));
+            setup.act(() -> setup.actions.send(r.ticket(), knownBackendId, 0));
             assertEquals(Status.MOOT, setup.outcome().status());
             assertTrue(backend.quiet());
         }
--- a/src/test/java/dewstage/proxy/RehearsalTest.java
+++ b/src/test/java/dewstage/proxy/RehearsalTest.java
@@ -40,8 +40,8 @@
     void noAnswerHasStatusFull() throws Exception {
         try (Peer discovery = new Peer(); Peer backend = new Peer()) {
             Set<Status> statuses = ConcurrentHashMap.newKeySet();
-            Rehearsal.run(Setup.config(discovery, backend), (settings, seed, now, out) -> {
-                Balancer policy = new Policy(settings, seed, now, out);
+            Rehearsal.run(Setup.config(discovery, backend), (settings, seed, now, actions) -> {
+                Balancer policy = new Policy(settings, seed, now, actions);
                 return (Balancer) Proxy.newProxyInstance(Balancer.class.getClassLoader(),
                         new Class<?>[] {Balancer.class}, (proxy, method, args) -> {
                             if (method.getName().equals("onOutcome")) {
