--- a/src/test/java/dewstage/faults/DrainRule.java
+++ b/src/test/java/dewstage/faults/DrainRule.java
@@ -47,9 +47,7 @@
     /** When the proxy was notified that the server is leaving, by System.nanoTime; MAX_VALUE if it was not. */
     private long leaveNotifiedNs(ServerRequest request) {
         Map<Long, ServerList.Change> byVersion = new TreeMap<>();
-        changes.stream()
-                .filter(c -> c.server().equals(request.server()))
-                .forEach(c -> byVersion.put(c.version(), c));
+        changes.stream().filter(c -> c.server().equals(request.server())).forEach(c -> byVersion.put(c.version(), c));
         long leavingSinceNs = Long.MAX_VALUE;
         for (ServerList.Change change : byVersion.values()) {
             long changeNotifiedNs = notifiedNs(request.proxy(), change);
--- a/src/test/java/dewstage/faults/FaultServer.java
+++ b/src/test/java/dewstage/faults/FaultServer.java
@@ -24,7 +24,7 @@
 
 /** A server that answers every request after the same time and records when its first byte arrived. */
 final class FaultServer implements AutoCloseable {
-    private static final int MAX_BODY_BYTES = 64 << 10;
+    private static final int MAX_BYTES = 64 << 10;
 
     private final String id;
     private final Duration serviceTime;
@@ -45,10 +45,7 @@
                     @Override
                     protected void initChannel(Channel c) {
                         c.pipeline()
-                                .addLast(
-                                        new HttpServerCodec(),
-                                        new HttpObjectAggregator(MAX_BODY_BYTES),
-                                        new RequestHandler());
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BYTES), new Handler());
                     }
                 })
                 .bind("127.0.0.1", 0)
@@ -65,7 +62,7 @@
         listener.close().syncUninterruptibly();
     }
 
-    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             String requestId = request.headers().get("Request-Id", "0-");
--- a/src/test/java/dewstage/faults/QueueTable.java
+++ b/src/test/java/dewstage/faults/QueueTable.java
@@ -20,7 +20,7 @@
     private List<Double> fleetCallTimes;
 
     @Option(names = "--refuse-after", description = "waiting time after which a call is refused, in seconds")
-    private Double refuseAfterSeconds;
+    private Double refuseAfterS;
 
     @Override
     public void run() {
@@ -35,12 +35,11 @@
 
     private void printRow(int proxies, boolean pushed, double seconds) {
         try {
-            QueueScenario scenario =
-                    new QueueScenario(
-                            proxies,
-                            pushed,
-                            toDuration(seconds),
-                            refuseAfterSeconds == null ? null : toDuration(refuseAfterSeconds));
+            QueueScenario scenario = new QueueScenario(
+                    proxies,
+                    pushed,
+                    toDuration(seconds),
+                    refuseAfterS == null ? null : toDuration(refuseAfterS));
             for (QueueScenario.Outcome outcome : scenario.run()) {
                 System.out.printf(
                         "%7d %-6s %14.1f  %-7s %12d %7.2f %6d %7d %7d%n",
