--- a/src/test/java/dewstage/faults/DiscoveryQueueTest.java
+++ b/src/test/java/dewstage/faults/DiscoveryQueueTest.java
@@ -16,15 +16,17 @@
 
     @ParameterizedTest
     @CsvSource({"100, true, 1000", "100, false, 1000", "100, true, 5500", "100, false, 7000"})
-    void aFleetCallingASlowDiscoveryIsUpdatedWithinOneCallPerProxy(
-            int proxies, boolean pushed, long fleetCallTimeMs) throws Exception {
+    void aFleetCallingASlowDiscoveryIsUpdatedWithinOneCallPerProxy(int proxies, boolean pushed, long fleetCallTimeMs)
+            throws Exception {
         Duration fleetCallTime = Duration.ofMillis(fleetCallTimeMs);
         for (QueueScenario.Outcome outcome : new QueueScenario(proxies, pushed, fleetCallTime, null).run()) {
             assertAll(
                     outcome.toString(),
                     () -> assertEquals(proxies, outcome.updated(), "proxies updated in time"),
                     () -> assertTrue(
-                            outcome.calls().useful() >= MIN_USEFUL_SHARE * outcome.calls().made(), "useful calls"),
+                            outcome.calls().useful()
+                                    >= MIN_USEFUL_SHARE * outcome.calls().made(),
+                            "useful calls"),
                     () -> assertEquals(0, outcome.queued(), "calls still waiting"));
         }
     }
--- a/src/test/java/dewstage/faults/DrainRule.java
+++ b/src/test/java/dewstage/faults/DrainRule.java
@@ -52,9 +52,8 @@
         for (ServerList.Change change : byVersion.values()) {
             long changeNotifiedNs = notifiedNs(request.proxy(), change);
             if (changeNotifiedNs <= request.atNs()) {
-                leavingSinceNs = change.lifecycle().isInService()
-                        ? Long.MAX_VALUE
-                        : Math.min(leavingSinceNs, changeNotifiedNs);
+                leavingSinceNs =
+                        change.lifecycle().isInService() ? Long.MAX_VALUE : Math.min(leavingSinceNs, changeNotifiedNs);
             }
         }
         return leavingSinceNs;
--- a/src/test/java/dewstage/faults/FaultRun.java
+++ b/src/test/java/dewstage/faults/FaultRun.java
@@ -50,7 +50,12 @@
     /** Settings with a discovery other than the first. */
     ProxySettings settings(int proxy, QueuedDiscovery source) {
         return new ProxySettings(
-                proxy, proxies, pushed, source.hostPort(proxy), DRAIN_GRACE, list.fullList().trim());
+                proxy,
+                proxies,
+                pushed,
+                source.hostPort(proxy),
+                DRAIN_GRACE,
+                list.fullList().trim());
     }
 
     /** Starts all proxies at once, and a client for each. */
@@ -79,7 +84,8 @@
         List<String> messages = new ArrayList<>();
         violations.stream()
                 .limit(MAX_SHOWN)
-                .map(v -> "request " + v.request().requestId() + " at " + v.request().server() + " "
+                .map(v -> "request " + v.request().requestId() + " at "
+                        + v.request().server() + " "
                         + v.delay().toMillis() + " ms after the proxy was notified; log "
                         + fleet.log(v.request().proxy()))
                 .forEach(messages::add);
--- a/src/test/java/dewstage/faults/FaultServer.java
+++ b/src/test/java/dewstage/faults/FaultServer.java
@@ -44,8 +44,7 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel c) {
-                        c.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BYTES), new Handler());
+                        c.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BYTES), new Handler());
                     }
                 })
                 .bind("127.0.0.1", 0)
--- a/src/test/java/dewstage/faults/QueueTable.java
+++ b/src/test/java/dewstage/faults/QueueTable.java
@@ -36,10 +36,7 @@
     private void printRow(int proxies, boolean pushed, double seconds) {
         try {
             QueueScenario scenario = new QueueScenario(
-                    proxies,
-                    pushed,
-                    toDuration(seconds),
-                    refuseAfterS == null ? null : toDuration(refuseAfterS));
+                    proxies, pushed, toDuration(seconds), refuseAfterS == null ? null : toDuration(refuseAfterS));
             for (QueueScenario.Outcome outcome : scenario.run()) {
                 System.out.printf(
                         "%7d %-6s %14.1f  %-7s %12d %7.2f %6d %7d %7d%n",
--- a/src/test/java/dewstage/faults/SlowDiscoveryTest.java
+++ b/src/test/java/dewstage/faults/SlowDiscoveryTest.java
@@ -23,8 +23,8 @@
 
     @ParameterizedTest
     @CsvSource({"true, 5500, 0", "false, 5500, 0", "true, 12000, 0", "true, 5500, 2000", "false, 5500, 2000"})
-    void noRequestIsSentToADrainedServerWhileDiscoveryIsSlow(
-            boolean pushed, long fleetCallTimeMs, long refuseAfterMs) throws Exception {
+    void noRequestIsSentToADrainedServerWhileDiscoveryIsSlow(boolean pushed, long fleetCallTimeMs, long refuseAfterMs)
+            throws Exception {
         Duration fleetCallTime = Duration.ofMillis(fleetCallTimeMs);
         try (FaultRun run = new FaultRun(folder, PROXIES, SERVERS, pushed, fleetCallTime.dividedBy(PROXIES), false)) {
             if (refuseAfterMs > 0) {
