--- a/src/main/java/dewstage/proxy/Backends.java
+++ b/src/main/java/dewstage/proxy/Backends.java
@@ -94,7 +94,7 @@
         /** Ordered by last use, the least recently used first. */
         final Deque<Connection> idleConnections = new ArrayDeque<>(2);
 
-        Backend(Discovery.Listed entry) {
+        Backend(Discovery.ListedBackend entry) {
             this.id = entry.member().id();
             this.address = entry.address();
             this.bootNs = entry.member().bootNs();
@@ -108,14 +108,14 @@
     private final long connectTimeoutNs;
     private final long keepAliveNs;
     private final long drainGraceNs;
-    private final IntFunction<Discovery.Listed> listedById;
+    private final IntFunction<Discovery.ListedBackend> listedById;
     private final IntMap<Backend> tracked = new IntMap<>();
     /** Idle connections of all backends in insertion order: the one idle longest is first. */
     private final Set<Connection> idleByAge = new LinkedHashSet<>();
 
     /** {@code listedById} returns the current list entry of a server, or null if it is not listed. */
     Backends(EventLoop loop, Clock clock, Sockets.Share sockets, Config config, Transport transport,
-            IntFunction<Discovery.Listed> listedById) {
+            IntFunction<Discovery.ListedBackend> listedById) {
         this.listedById = listedById;
         this.transport = transport;
         this.loop = loop;
@@ -133,7 +133,7 @@
     /** Applies a list update. Updates after the first one include the members that are gone. */
     void apply(Discovery.ListUpdate listUpdate) {
         long now = clock.now();
-        for (Discovery.Listed entry : listUpdate.list()) {
+        for (Discovery.ListedBackend entry : listUpdate.entries()) {
             State state = entry.member().state();
             Backend backend = tracked.get(entry.member().id());
             if (backend == null && state == State.DRAINING) {
@@ -146,7 +146,7 @@
         }
     }
 
-    private void applyEntry(Backend backend, Discovery.Listed entry, State state, long now) {
+    private void applyEntry(Backend backend, Discovery.ListedBackend entry, State state, long now) {
         InetSocketAddress address = entry.address();
         boolean moved = address != null && !address.equals(backend.address);
         if (moved || entry.member().bootNs() > backend.bootNs) {
@@ -264,7 +264,7 @@
     /** Returns the state of a backend, creating it if needed; null if the server is not listed. */
     private Backend track(int server) {
         Backend backend = tracked.get(server);
-        Discovery.Listed entry = backend == null ? listedById.apply(server) : null;
+        Discovery.ListedBackend entry = backend == null ? listedById.apply(server) : null;
         if (entry != null) {
             backend = new Backend(entry);
             tracked.put(server, backend);
--- a/src/main/java/dewstage/proxy/Proxy.java
+++ b/src/main/java/dewstage/proxy/Proxy.java
@@ -140,9 +140,9 @@
         this.loop = loop;
         Sockets sockets = new Sockets(config.sockets());
         this.frontend = new Frontend(config, clock, lag, sockets.clients, this);
-        this.discovery = new Discovery(loop, config, this, Discovery.SILENCE_MS, Membership.usualRoom(),
-                freshness);
-        this.backends = new Backends(loop, clock, sockets.backends, config, transport, discovery::listed);
+        this.discovery = new Discovery(loop, config, this, Discovery.STALL_TIMEOUT_MS,
+                Membership.defaultMaxBytes(), freshness);
+        this.backends = new Backends(loop, clock, sockets.backends, config, transport, discovery::find);
         this.balancer = factory.create(config.settings(), config.seed(), clock.now(), this);
     }
 
@@ -157,11 +157,11 @@
         Reload reload = new Reload(() -> Config.reread(environment),
                 config -> started.thenAccept(proxy -> proxy.loop.execute(() -> proxy.reload(config))));
         Runnable reloadOnceStarted = () -> started.thenRun(reload::run);
-        if (Signals.ignored(Signals.SIGHUP)) {
+        if (Signals.isIgnored(Signals.SIGHUP)) {
             Log.line("SIGHUP is ignored in this process: the configuration file is checked every "
-                    + ConfigFileWatch.LOOK_MS + " ms instead");
+                    + ConfigFileWatch.POLL_INTERVAL_MS + " ms instead");
             ConfigFileWatch.start(environment.get("NODE_CONFIG"), reloadOnceStarted);
-        } else if (!Signals.on("HUP", reloadOnceStarted)) {
+        } else if (!Signals.installHandler("HUP", reloadOnceStarted)) {
             Log.line("this runtime cannot handle SIGHUP: the configuration is read at startup only");
         }
         LibraryLog.install();
@@ -240,16 +240,16 @@
     }
 
     private void startServing() {
-        Discovery.ListUpdate known = discovery.known();
+        Discovery.ListUpdate known = discovery.readKnownList();
         if (known != null) {
-            discovery.startFrom(known.version());
+            discovery.resumeFrom(known.version());
             apply(known);
         }
         if (!config.settings().askForList()) {
-            discovery.watch(true);
+            discovery.setWatching(true);
         }
         loop.schedule(() -> {
-            if (known != null && !known.list().isEmpty()) {
+            if (known != null && !known.entries().isEmpty()) {
                 if (!hasList) {
                     Log.line("no list from discovery after " + DISCOVERY_WAIT_MS
                             + " ms: serving on the configured list, version " + known.version());
@@ -275,7 +275,7 @@
      */
     void reload(Config config) {
         Log.line("configuration reloaded: discovery is at " + config.discovery());
-        discovery.move(config.discovery());
+        discovery.changeAddress(config.discovery());
     }
 
     /** Answers all open and still arriving requests; the future completes once every one is answered. */
@@ -345,7 +345,7 @@
     }
 
     @Override
-    public void onBrokenList(Discovery.ListUpdate leaving) {
+    public void onTruncatedList(Discovery.ListUpdate leaving) {
         apply(leaving);
     }
 
@@ -368,7 +368,7 @@
     }
 
     @Override
-    public void failed() {
+    public void onWatchFailed() {
         enqueue(0, now -> balancer.onMembers(now, ListKind.FAILED, 0, List.of()));
     }
 
@@ -542,7 +542,7 @@
     private void logAttempt(Exchange exchange, int attemptNumber, int server) {
         Log.line("attempt " + attemptNumber + " of request "
                 + exchange.request.headers().get("Request-Id") + " to server "
-                + discovery.name(server) + ", list version " + discovery.version() + ", confirmed "
+                + discovery.idOf(server) + ", list version " + discovery.version() + ", confirmed "
                 + describeListAge());
     }
 
@@ -596,7 +596,7 @@
     @Override
     public void subscribe(boolean on) {
         if (watchesDiscovery) {
-            discovery.watch(on);
+            discovery.setWatching(on);
         }
     }
 
--- a/src/test/java/dewstage/proxy/BackendsTest.java
+++ b/src/test/java/dewstage/proxy/BackendsTest.java
@@ -379,8 +379,8 @@
                 config, Backends.tcp(setup.loop), id -> listEntry(id, State.READY))).get();
     }
 
-    private Discovery.Listed listEntry(int id, State state) {
-        return new Discovery.Listed(new Member(id, 0, state, 0, 0, 0, 1), backend.address());
+    private Discovery.ListedBackend listEntry(int id, State state) {
+        return new Discovery.ListedBackend(new Member(id, 0, state, 0, 0, 0, 1), backend.address());
     }
 
     private int trackedCount(Backends backends) throws Exception {
@@ -391,14 +391,14 @@
     @Test
     void onlyBackendsInUseAreTracked() throws Exception {
         Backends backends = newBackends(1024);
-        List<Discovery.Listed> list =
+        List<Discovery.ListedBackend> list =
                 IntStream.range(0, 1000).mapToObj(id -> listEntry(id, State.READY)).toList();
         setup.runOnLoop(() -> backends.apply(new Discovery.ListUpdate(ListKind.FULL, 1, list)));
         assertEquals(0, trackedCount(backends));
         setup.clock.freeze();
         List<Peer.Wire> connections = serveOneAt(backends, 3, 4, 5);
         assertEquals(3, trackedCount(backends));
-        List<Discovery.Listed> changes = List.of(listEntry(4, State.GONE));
+        List<Discovery.ListedBackend> changes = List.of(listEntry(4, State.GONE));
         setup.runOnLoop(() -> backends.apply(new Discovery.ListUpdate(ListKind.DELTA, 2, changes)));
         assertTrue(connections.get(1).awaitClose(), "idle connection to a server that is gone");
         assertEquals(2, trackedCount(backends));
@@ -426,7 +426,7 @@
         Member draining = new Member(server, 0, State.DRAINING, 0, 3, 0, 1);
         setup.clock.freeze();
         setup.runOnLoop(() -> setup.proxy.onListUpdate(new Discovery.ListUpdate(ListKind.DELTA, 42,
-                List.of(new Discovery.Listed(draining, backend.address())))));
+                List.of(new Discovery.ListedBackend(draining, backend.address())))));
         setup.clock.advance(500_000_001L); // longer than the drain grace
         try (Peer.Wire client = setup.client()) {
             sendRequest(client);
--- a/src/test/java/dewstage/proxy/DescriptorsTest.java
+++ b/src/test/java/dewstage/proxy/DescriptorsTest.java
@@ -185,7 +185,7 @@
                 Peer.Wire watch = discovery.accept();
                 watch.read();
                 watch.write(WATCH + Integer.toHexString(SAME_LIST.length()) + "\r\n" + SAME_LIST + "\r\n");
-                awaitLogLine(logLines, "brought DELTA");
+                awaitLogLine(logLines, "received DELTA");
                 try (Peer.Wire client = Peer.Wire.to(new InetSocketAddress("127.0.0.1", listenPort))) {
                     client.write("GET /none HTTP/1.1\r\n\r\n");
                     assertTrue(client.read().startsWith("HTTP/1.1 404 ")); // the connection is accepted
