--- a/src/main/java/dewstage/benchlink/Host.java
+++ b/src/main/java/dewstage/benchlink/Host.java
@@ -18,185 +18,199 @@
 import java.util.List;
 import java.util.Map;
 
-/** Hosts many instances of the module on the simulator's wire. It translates and decides nothing. */
+/**
+ * Runs many instances of the module behind the binary protocol of the simulator. It only translates between events,
+ * module calls and actions.
+ */
 public final class Host {
-    private static final int ENTRY = 22;
+    private static final int ENTRY_BYTES = 22;
     private static final Status[] STATUSES = Status.values();
     private static final State[] STATES = State.values();
     private static final ListKind[] LIST_KINDS = ListKind.values();
 
-    /** A running instance and which report column holds what (see {@link #REPORT_NAMES}). */
-    private record Instance(Balancer balancer, int[] columns, int profiles) {}
+    /** A running instance; its report columns are indexed like {@link #REPORT_COLUMN_NAMES}, -1 if absent. */
+    private record Instance(Balancer balancer, int[] reportColumns, int profileCount) {}
 
-    private static final List<String> REPORT_NAMES =
+    private static final List<String> REPORT_COLUMN_NAMES =
             List.of("outstanding", "backlog", "utilization", "recent_ms", "throughput", "errors_per_s");
 
     private final Balancer.Factory factory;
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final Map<Integer, List<Member>> tables = new HashMap<>();
+    private final Map<Integer, List<Member>> memberLists = new HashMap<>();
     private final Reply reply = new Reply();
 
     public Host(Balancer.Factory factory) {
         this.factory = factory;
     }
 
-    /** Serves batches until the input ends. */
+    /** Processes batches until the input ends, with one reply to each. */
     public void serve(InputStream input, OutputStream output) throws IOException {
         InputStream in = new BufferedInputStream(input, 1 << 16);
-        for (Batch b = Batch.read(in); b != null; b = Batch.read(in)) {
-            for (int i = 0; i < b.count; i++) {
-                event(b, i * Batch.RECORD);
+        for (Batch batch = Batch.read(in); batch != null; batch = Batch.read(in)) {
+            for (int i = 0; i < batch.recordCount; i++) {
+                dispatch(batch, i * Batch.RECORD_BYTES);
             }
             reply.writeTo(output);
         }
     }
 
-    private void event(Batch b, int at) {
-        int code = b.u8(at);
-        if (code < 1 || code > 11) {
-            throw new WireException("unknown event code " + code);
+    private void dispatch(Batch batch, int offset) {
+        int eventCode = batch.u8(offset);
+        if (eventCode < 1 || eventCode > 11) {
+            throw new WireException("unknown event code " + eventCode);
         }
-        if (code == 11) {
-            tables.put(b.u16(at + 1), members(b, at + 3));
+        if (eventCode == 11) {
+            memberLists.put(batch.u16(offset + 1), members(batch, offset + 3));
             return;
         }
-        int proxy = b.i32(at + 1);
-        if (code == 10) {
-            running(instances.remove(proxy), code, proxy);
+        int instanceId = batch.i32(offset + 1);
+        if (eventCode == 10) {
+            requireRunning(instances.remove(instanceId), eventCode, instanceId);
             return;
         }
-        ConfigParser.Parsed start =
-                code == 1 ? ConfigParser.parse(new String(b.bytes(at + 13), StandardCharsets.UTF_8)) : null;
+        ConfigParser.Parsed start = eventCode == 1
+                ? ConfigParser.parse(new String(batch.bytes(offset + 13), StandardCharsets.UTF_8))
+                : null;
         try {
             if (start != null) {
-                int[] columns = columns(start.columns());
+                int[] reportColumns = reportColumns(start.reportColumns());
                 instances.put(
-                        proxy,
+                        instanceId,
                         new Instance(
-                                factory.create(start.settings(), b.i64(at + 5), b.clock, reply.forInstance(proxy)),
-                                columns,
+                                factory.create(
+                                        start.settings(),
+                                        batch.i64(offset + 5),
+                                        batch.clockNs,
+                                        reply.forInstance(instanceId)),
+                                reportColumns,
                                 start.settings().profiles().size()));
                 return;
             }
-            deliver(b, at, code, running(instances.get(proxy), code, proxy));
+            deliver(batch, offset, eventCode, requireRunning(instances.get(instanceId), eventCode, instanceId));
         } catch (WireException e) {
             throw e;
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
-            reply.exception(proxy, e + (trace.length > 0 ? " at " + trace[0] : ""));
+            reply.exception(instanceId, e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
-    private static Instance running(Instance i, int code, int proxy) {
-        if (i == null) {
-            throw new WireException("event " + code + " for instance " + proxy + ", which is not running");
+    private static Instance requireRunning(Instance instance, int eventCode, int instanceId) {
+        if (instance == null) {
+            throw new WireException("event " + eventCode + " for instance " + instanceId + ", which is not running");
         }
-        return i;
+        return instance;
     }
 
-    private void deliver(Batch b, int at, int code, Instance to) {
-        Balancer m = to.balancer();
-        long now = b.clock;
-        switch (code) {
+    private void deliver(Batch batch, int offset, int eventCode, Instance instance) {
+        Balancer module = instance.balancer();
+        long now = batch.clockNs;
+        switch (eventCode) {
             case 2 -> {
-                ListKind kind = pick(LIST_KINDS, b.u8(at + 5), "list kind");
-                List<Member> list = kind == ListKind.FAILED ? List.of() : tables.get(b.u16(at + 14));
-                if (list == null) {
-                    throw new WireException("list number " + b.u16(at + 14) + " was never given");
+                ListKind kind = enumConstant(LIST_KINDS, batch.u8(offset + 5), "list kind");
+                List<Member> members = kind == ListKind.FAILED ? List.of() : memberLists.get(batch.u16(offset + 14));
+                if (members == null) {
+                    throw new WireException("list number " + batch.u16(offset + 14) + " was not defined");
                 }
-                m.onMembers(now, kind, b.i64(at + 6), list);
+                module.onMembers(now, kind, batch.i64(offset + 6), members);
             }
             case 3 -> {
-                int flags = b.u16(at + 36);
-                if (b.u8(at + 9) >= to.profiles()) {
-                    throw new WireException("a request of class " + b.u8(at + 9) + " of " + to.profiles());
+                int flags = batch.u16(offset + 36);
+                if (batch.u8(offset + 9) >= instance.profileCount()) {
+                    throw new WireException("request has class " + batch.u8(offset + 9) + ", number of classes is "
+                            + instance.profileCount());
                 }
-                m.onRequest(
+                module.onRequest(
                         now,
                         new Request(
-                                b.i32(at + 5),
-                                b.u8(at + 9),
-                                b.u16(at + 10),
-                                b.i64(at + 12),
-                                b.i64(at + 20),
-                                (flags & 1) != 0 ? b.i64(at + 28) : 0,
+                                batch.i32(offset + 5),
+                                batch.u8(offset + 9),
+                                batch.u16(offset + 10),
+                                batch.i64(offset + 12),
+                                batch.i64(offset + 20),
+                                (flags & 1) != 0 ? batch.i64(offset + 28) : 0,
                                 (flags & 2) != 0));
             }
-            case 4 -> m.onStreamBegun(now, b.i32(at + 5), b.u16(at + 9), b.i32(at + 11), b.i64(at + 15));
-            case 5 -> m.onOutcome(
+            case 4 -> module.onStreamBegun(
+                    now,
+                    batch.i32(offset + 5),
+                    batch.u16(offset + 9),
+                    batch.i32(offset + 11),
+                    batch.i64(offset + 15));
+            case 5 -> module.onOutcome(
                     now,
                     new Outcome(
-                            b.i32(at + 5),
-                            b.u16(at + 9),
-                            b.i32(at + 11),
-                            pick(STATUSES, b.u16(at + 15), "outcome"),
-                            b.i64(at + 17),
-                            b.u8(at + 25) != 0,
-                            report(b, at + 26, to.columns())));
-            case 6 -> m.onWithdrawn(now, b.i32(at + 5));
-            case 7 -> m.onTimer(now, b.i64(at + 5));
-            case 8 -> m.onProbe(
+                            batch.i32(offset + 5),
+                            batch.u16(offset + 9),
+                            batch.i32(offset + 11),
+                            enumConstant(STATUSES, batch.u16(offset + 15), "outcome"),
+                            batch.i64(offset + 17),
+                            batch.u8(offset + 25) != 0,
+                            report(batch, offset + 26, instance.reportColumns())));
+            case 6 -> module.onWithdrawn(now, batch.i32(offset + 5));
+            case 7 -> module.onTimer(now, batch.i64(offset + 5));
+            case 8 -> module.onProbe(
                     now,
-                    b.i32(at + 5),
-                    pick(STATUSES, b.u16(at + 9), "outcome"),
-                    b.i64(at + 11),
-                    report(b, at + 19, to.columns()));
-            case 9 -> m.onPeer(now, b.i32(at + 5), b.bytes(at + 9));
-            default -> throw new WireException("unknown event code " + code);
+                    batch.i32(offset + 5),
+                    enumConstant(STATUSES, batch.u16(offset + 9), "outcome"),
+                    batch.i64(offset + 11),
+                    report(batch, offset + 19, instance.reportColumns()));
+            case 9 -> module.onPeer(now, batch.i32(offset + 5), batch.bytes(offset + 9));
+            default -> throw new WireException("unknown event code " + eventCode);
         }
     }
 
-    private static List<Member> members(Batch b, int at) {
-        int from = b.tail(at, ENTRY);
-        int n = b.i32(at + 4);
-        List<Member> list = new ArrayList<>(n);
-        for (int i = 0; i < n; i++) {
-            int e = from + i * ENTRY;
-            list.add(new Member(
-                    b.i32(e),
-                    b.u16(e + 4),
-                    pick(STATES, b.u8(e + 6), "server state"),
-                    b.i64(e + 7),
-                    b.u16(e + 15),
-                    b.u8(e + 17),
-                    b.f32(e + 18)));
+    private static List<Member> members(Batch batch, int offset) {
+        int firstEntry = batch.tail(offset, ENTRY_BYTES);
+        int count = batch.i32(offset + 4);
+        List<Member> entries = new ArrayList<>(count);
+        for (int i = 0; i < count; i++) {
+            int entryOffset = firstEntry + i * ENTRY_BYTES;
+            entries.add(new Member(
+                    batch.i32(entryOffset),
+                    batch.u16(entryOffset + 4),
+                    enumConstant(STATES, batch.u8(entryOffset + 6), "server state"),
+                    batch.i64(entryOffset + 7),
+                    batch.u16(entryOffset + 15),
+                    batch.u8(entryOffset + 17),
+                    batch.f32(entryOffset + 18)));
         }
-        return List.copyOf(list);
+        return List.copyOf(entries);
     }
 
-    /** For each value of {@link Report}, the column that holds it, or -1. */
-    private static int[] columns(String[] names) {
-        int[] columns = new int[REPORT_NAMES.size()];
-        for (int i = 0; i < columns.length; i++) {
-            columns[i] = List.of(names).indexOf(REPORT_NAMES.get(i));
+    /** Returns the column of each component of {@link Report}, or -1 if no column holds it. */
+    private static int[] reportColumns(String[] names) {
+        int[] reportColumns = new int[REPORT_COLUMN_NAMES.size()];
+        for (int i = 0; i < reportColumns.length; i++) {
+            reportColumns[i] = List.of(names).indexOf(REPORT_COLUMN_NAMES.get(i));
         }
-        return columns;
+        return reportColumns;
     }
 
-    private static Report report(Batch b, int at, int[] columns) {
-        int n = b.u8(at);
-        if (n > 4) {
-            throw new WireException("a load report of " + n + " values");
+    private static Report report(Batch batch, int offset, int[] reportColumns) {
+        int valueCount = batch.u8(offset);
+        if (valueCount > 4) {
+            throw new WireException("load report has " + valueCount + " values, maximum is 4");
         }
-        return n == 0
+        return valueCount == 0
                 ? null
                 : new Report(
-                        value(b, at, n, columns[0]),
-                        value(b, at, n, columns[1]),
-                        value(b, at, n, columns[2]),
-                        value(b, at, n, columns[3]),
-                        value(b, at, n, columns[4]),
-                        value(b, at, n, columns[5]));
+                        value(batch, offset, valueCount, reportColumns[0]),
+                        value(batch, offset, valueCount, reportColumns[1]),
+                        value(batch, offset, valueCount, reportColumns[2]),
+                        value(batch, offset, valueCount, reportColumns[3]),
+                        value(batch, offset, valueCount, reportColumns[4]),
+                        value(batch, offset, valueCount, reportColumns[5]));
     }
 
-    private static double value(Batch b, int at, int n, int column) {
-        return column < 0 || column >= n ? Double.NaN : b.f32(at + 1 + 4 * column);
+    private static double value(Batch batch, int offset, int valueCount, int column) {
+        return column < 0 || column >= valueCount ? Double.NaN : batch.f32(offset + 1 + 4 * column);
     }
 
-    private static <E> E pick(E[] values, int i, String what) {
-        if (i >= values.length) {
-            throw new WireException("unknown " + what + " " + i);
+    private static <E> E enumConstant(E[] values, int ordinal, String description) {
+        if (ordinal >= values.length) {
+            throw new WireException("unknown " + description + " " + ordinal);
         }
-        return values[i];
+        return values[ordinal];
     }
 }
--- a/src/main/java/dewstage/benchlink/Reply.java
+++ b/src/main/java/dewstage/benchlink/Reply.java
@@ -8,108 +8,110 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** The reply to one batch: action records of 24 bytes, then the tail that they refer to. */
+/** The reply to one batch: action records of 24 bytes, followed by the tail that they refer to. */
 final class Reply {
-    static final int RECORD = 24;
+    static final int RECORD_BYTES = 24;
 
     private ByteBuffer records = ByteBuffer.allocate(1 << 14).order(ByteOrder.LITTLE_ENDIAN);
     private byte[] tail = new byte[1 << 10];
     private int tailLength;
 
-    /** The sink of one instance: every action carries its number. */
-    Balancer.Actions forInstance(int proxy) {
+    /** Returns the actions of one instance; each record carries the instance's number. */
+    Balancer.Actions forInstance(int instanceId) {
         return new Balancer.Actions() {
             @Override
             public void send(int ticket, int server, long timeoutNs) {
-                end(begin(65, proxy).putInt(ticket).putInt(server).putLong(timeoutNs));
+                padRecord(beginRecord(65, instanceId).putInt(ticket).putInt(server).putLong(timeoutNs));
             }
 
             @Override
             public void refuse(int ticket, long retryInNs) {
-                end(begin(66, proxy).putInt(ticket).putLong(retryInNs));
+                padRecord(beginRecord(66, instanceId).putInt(ticket).putLong(retryInNs));
             }
 
             @Override
             public void fail(int ticket) {
-                end(begin(67, proxy).putInt(ticket));
+                padRecord(beginRecord(67, instanceId).putInt(ticket));
             }
 
             @Override
             public void cancel(int ticket, int attempt) {
-                end(begin(68, proxy).putInt(ticket).putShort((short) attempt));
+                padRecord(beginRecord(68, instanceId).putInt(ticket).putShort((short) attempt));
             }
 
             @Override
             public void timer(long at, long token) {
-                end(begin(69, proxy).putLong(at).putLong(token));
+                padRecord(beginRecord(69, instanceId).putLong(at).putLong(token));
             }
 
             @Override
             public void probe(int server) {
-                end(begin(70, proxy).putInt(server));
+                padRecord(beginRecord(70, instanceId).putInt(server));
             }
 
             @Override
             public void closeIdle(int server) {
-                end(begin(71, proxy).putInt(server));
+                padRecord(beginRecord(71, instanceId).putInt(server));
             }
 
             @Override
             public void tell(int peer, byte[] message) {
-                end(bytes(begin(72, proxy).putInt(peer), message));
+                padRecord(appendTail(beginRecord(72, instanceId).putInt(peer), message));
             }
 
             @Override
             public void log(String line) {
-                end(bytes(begin(73, proxy), line.getBytes(StandardCharsets.UTF_8)));
+                padRecord(appendTail(beginRecord(73, instanceId), line.getBytes(StandardCharsets.UTF_8)));
             }
 
             @Override
             public void subscribe(boolean on) {
-                end(begin(75, proxy).put((byte) (on ? 1 : 0)));
+                padRecord(beginRecord(75, instanceId).put((byte) (on ? 1 : 0)));
             }
 
             @Override
             public void reload() {
-                end(begin(76, proxy));
+                padRecord(beginRecord(76, instanceId));
             }
         };
     }
 
-    /** Says that the module of an instance has thrown. */
-    void exception(int proxy, String text) {
-        end(bytes(begin(74, proxy), text.getBytes(StandardCharsets.UTF_8)));
+    /** Appends an action that reports an exception thrown by the module of an instance. */
+    void exception(int instanceId, String text) {
+        padRecord(appendTail(beginRecord(74, instanceId), text.getBytes(StandardCharsets.UTF_8)));
     }
 
-    private ByteBuffer begin(int code, int proxy) {
-        if (records.remaining() < RECORD) {
+    private ByteBuffer beginRecord(int code, int instanceId) {
+        if (records.remaining() < RECORD_BYTES) {
             records = ByteBuffer.wrap(Arrays.copyOf(records.array(), records.capacity() * 2))
                     .order(ByteOrder.LITTLE_ENDIAN)
                     .position(records.position());
         }
-        return records.put((byte) code).putInt(proxy);
+        return records.put((byte) code).putInt(instanceId);
     }
 
-    private ByteBuffer bytes(ByteBuffer record, byte[] text) {
-        if (tail.length - tailLength < text.length) {
-            tail = Arrays.copyOf(tail, Math.max(tail.length * 2, tailLength + text.length));
+    /** Appends content to the tail and its offset and length to the record. */
+    private ByteBuffer appendTail(ByteBuffer record, byte[] content) {
+        if (tail.length - tailLength < content.length) {
+            tail = Arrays.copyOf(tail, Math.max(tail.length * 2, tailLength + content.length));
         }
-        System.arraycopy(text, 0, tail, tailLength, text.length);
-        record.putInt(tailLength).putInt(text.length);
-        tailLength += text.length;
+        System.arraycopy(content, 0, tail, tailLength, content.length);
+        record.putInt(tailLength).putInt(content.length);
+        tailLength += content.length;
         return record;
     }
 
-    private void end(ByteBuffer record) {
-        while (record.position() % RECORD != 0) {
+    /** Fills the record with zeros up to its full length. */
+    private void padRecord(ByteBuffer record) {
+        while (record.position() % RECORD_BYTES != 0) {
             record.put((byte) 0);
         }
     }
 
-    /** Writes the frame, flushes and starts anew. */
+    /** Writes the frame, flushes the stream and clears the buffers for the next batch. */
     void writeTo(OutputStream out) throws IOException {
         ByteBuffer header = ByteBuffer.allocate(8).order(ByteOrder.LITTLE_ENDIAN);
-        header.putInt(records.position() / RECORD).putInt(records.position() + tailLength);
+        header.putInt(records.position() / RECORD_BYTES).putInt(records.position() + tailLength);
         out.write(header.array());
         out.write(records.array(), 0, records.position());
         out.write(tail, 0, tailLength);
--- a/src/main/java/dewstage/benchlink/WireException.java
+++ b/src/main/java/dewstage/benchlink/WireException.java
@@ -1,6 +1,6 @@
 package dewstage.benchlink;
 
-/** Input that is not the wire; the message is one plain line. */
+/** Input that violates the wire protocol, or an invalid setting; the message is a single line. */
 public final class WireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/test/java/dewstage/benchlink/HostTest.java
+++ b/src/test/java/dewstage/benchlink/HostTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Frames in both directions; the bytes of the records are those of the wire document. */
+/** Decodes and encodes frames; the expected record bytes are those of the wire protocol document. */
 class HostTest {
     private static final String CONFIG =
             """
@@ -41,23 +41,23 @@
             rules.start_capacity=0.33
             rules.tip_multiple=4.0
             rules.turn_gap_ns=300000000
-            some.key.of.tomorrow=yes
+            some.unknown.key=yes
             step_ns=5000000
             weights=silent
             zone=0
             """;
     private static final String CLOCK = "90bf68f501000000";
-    private static final String INGRESS =
+    private static final String REQUEST_EVENT =
             "0303000000c4913a5d000000640ad2557c3bf091001c4e0e00000000" + "001bb70000000000" + "0100" + "00".repeat(10);
-    private static final String ELAPSED = "07030000004d00000000000000" + "00".repeat(35);
-    private static final String DONE = "0503000000c4913a5d0000074a12030100a0491a0100000000010200004040"
+    private static final String TIMER_EVENT = "07030000004d00000000000000" + "00".repeat(35);
+    private static final String OUTCOME_EVENT = "0503000000c4913a5d0000074a12030100a0491a0100000000010200004040"
             + "52b81e3f0000000000000000" + "00".repeat(5);
 
-    private final List<String> heard = new ArrayList<>();
-    private Balancer.Actions sink;
+    private final List<String> moduleCalls = new ArrayList<>();
+    private Balancer.Actions moduleActions;
     private Balancer.Settings settings;
 
-    /** Notes each call; what it does on a request is up to the test. */
+    /** Records each call; the test supplies what it does on a request. */
     private final class Recorder implements Balancer {
         private final Runnable onRequest;
 
@@ -67,55 +67,56 @@
 
         @Override
         public void onMembers(long now, ListKind kind, long version, List<Member> members) {
-            heard.add("members " + kind + " " + version + " " + members);
+            moduleCalls.add("members " + kind + " " + version + " " + members);
         }
 
         @Override
         public void onRequest(long now, Request request) {
-            heard.add("request " + request);
+            moduleCalls.add("request " + request);
             onRequest.run();
         }
 
         @Override
         public void onStreamBegun(long now, int ticket, int attempt, int server, long elapsedNs) {
-            heard.add("begun " + attempt + " " + server + " " + elapsedNs);
+            moduleCalls.add("begun " + attempt + " " + server + " " + elapsedNs);
         }
 
         @Override
         public void onOutcome(long now, Outcome outcome) {
-            heard.add("outcome " + outcome);
+            moduleCalls.add("outcome " + outcome);
         }
 
         @Override
         public void onWithdrawn(long now, int ticket) {
-            heard.add("withdrawn " + ticket);
+            moduleCalls.add("withdrawn " + ticket);
         }
 
         @Override
         public void onTimer(long now, long token) {
-            heard.add("timer " + now + " " + token);
+            moduleCalls.add("timer " + now + " " + token);
         }
 
         @Override
         public void onProbe(long now, int server, Status status, long elapsedNs, Report report) {
-            heard.add("probe " + server + " " + status + " " + elapsedNs + " " + report.util());
+            moduleCalls.add("probe " + server + " " + status + " " + elapsedNs + " " + report.util());
         }
 
         @Override
         public void onPeer(long now, int peer, byte[] message) {
-            heard.add("peer " + peer + " " + new String(message, StandardCharsets.UTF_8));
+            moduleCalls.add("peer " + peer + " " + new String(message, StandardCharsets.UTF_8));
         }
     }
 
-    private static String u32(int v) {
-        return HexFormat.of().toHexDigits(Integer.reverseBytes(v));
+    /** Returns a value as the hex digits of 4 little-endian bytes. */
+    private static String u32(int value) {
+        return HexFormat.of().toHexDigits(Integer.reverseBytes(value));
     }
 
     private static String hex(String text) {
         return HexFormat.of().formatHex(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A frame of these records (hex), with this tail. */
+    /** Returns a frame of hex records followed by a hex tail. */
     private static String frame(String tail, String... records) {
         String body = String.join("", records) + tail;
         return u32(body.length() / 2) + u32(records.length) + CLOCK + body;
@@ -127,10 +128,10 @@
 
     private String run(Runnable onRequest, String... frames) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Host((s, seed, now, actions) -> {
-                    settings = s;
-                    sink = actions;
-                    heard.add("start " + seed);
+        new Host((startSettings, seed, now, actions) -> {
+                    settings = startSettings;
+                    moduleActions = actions;
+                    moduleCalls.add("start " + seed);
                     return new Recorder(onRequest);
                 })
                 .serve(new ByteArrayInputStream(HexFormat.of().parseHex(String.join("", frames))), out);
@@ -147,15 +148,15 @@
     }
 
     @Test
-    void theDocumentsReplyIsWrittenToTheByte() throws IOException {
+    void replyMatchesTheWireDocumentByteForByte() throws IOException {
         String reply = run(
                 () -> {
-                    sink.send(0x5d3a91c4, 0x03124a07, 80_000_000L);
-                    sink.timer(0x213362490L, 0x4d);
-                    sink.log("two servers known");
+                    moduleActions.send(0x5d3a91c4, 0x03124a07, 80_000_000L);
+                    moduleActions.timer(0x213362490L, 0x4d);
+                    moduleActions.log("two servers known");
                 },
                 start(CONFIG),
-                frame("", INGRESS));
+                frame("", REQUEST_EVENT));
         assertEquals(
                 "0000000000000000" + "0300000059000000"
                         + "4103000000c4913a5d074a120300b4c40400000000000000"
@@ -166,21 +167,21 @@
     }
 
     @Test
-    void everyOtherActionHasItsCodeAndFields() throws IOException {
+    void remainingActionsAreEncodedWithTheirCodesAndFields() throws IOException {
         String reply = run(
                 () -> {
-                    sink.refuse(0x0e6f2b19, 0x0ee6b280L);
-                    sink.fail(0x0e6f2b19);
-                    sink.cancel(0x5d3a91c4, 2);
-                    sink.probe(0x2c9011f2);
-                    sink.closeIdle(0x2c9011f2);
-                    sink.tell(-1, "hi 7".getBytes(StandardCharsets.UTF_8));
-                    sink.subscribe(true);
-                    sink.subscribe(false);
-                    sink.reload();
+                    moduleActions.refuse(0x0e6f2b19, 0x0ee6b280L);
+                    moduleActions.fail(0x0e6f2b19);
+                    moduleActions.cancel(0x5d3a91c4, 2);
+                    moduleActions.probe(0x2c9011f2);
+                    moduleActions.closeIdle(0x2c9011f2);
+                    moduleActions.tell(-1, "hi 7".getBytes(StandardCharsets.UTF_8));
+                    moduleActions.subscribe(true);
+                    moduleActions.subscribe(false);
+                    moduleActions.reload();
                 },
                 start(CONFIG),
-                frame("", INGRESS));
+                frame("", REQUEST_EVENT));
         assertEquals(
                 "0000000000000000" + "09000000" + u32(9 * 24 + 4)
                         + "4203000000192b6f0e80b2e60e00000000" + "00".repeat(7)
@@ -197,7 +198,7 @@
     }
 
     @Test
-    void eventsAreReadFromTheDocumentsBytes() throws IOException {
+    void eventsOfTheWireDocumentAreDecoded() throws IOException {
         String entries = "074a1203" + "0000" + "01" + "0000000000000000" + "0000" + "00" + "0000803f" + "f211902c"
                 + "0000" + "01" + "009d966b01000000" + "0000" + "01" + "0000c03f";
         run(
@@ -206,7 +207,7 @@
                         entries,
                         "0b00000000000002000000" + "00".repeat(37),
                         "02030000000229000000000000000000" + "00".repeat(32)),
-                frame("", INGRESS, ELAPSED, DONE, "0603000000192b6f0e" + "00".repeat(39)),
+                frame("", REQUEST_EVENT, TIMER_EVENT, OUTCOME_EVENT, "0603000000192b6f0e" + "00".repeat(39)),
                 frame(
                         "68692037",
                         "0403000000c4913a5d0000074a1203d0248d0000000000" + "00".repeat(25),
@@ -233,11 +234,11 @@
                         "begun 0 51530247 9250000",
                         "probe 747639282 OK 1400000 0.6200000047683716",
                         "peer 2 hi 7"),
-                heard);
+                moduleCalls);
     }
 
     @Test
-    void settingsAreReadAndUnknownOnesSkipped() throws IOException {
+    void settingsAreParsedAndUnknownKeysIgnored() throws IOException {
         run(start(CONFIG));
         assertEquals(3, settings.balancers());
         assertEquals(Balancer.Scope.ZONE, settings.profiles().get(0).scope());
@@ -251,86 +252,95 @@
     }
 
     @Test
-    void rulesThatAreNotStatedDoNotHold() throws IOException {
+    void absentRulesAreDisabled() throws IOException {
         run(start(CONFIG.replaceAll("rules.busy.*\n|rules.turn.*\n|.*sequential.*\n", "")));
         assertFalse(settings.fullIsNoProof());
         assertFalse(settings.profiles().get(0).sequential());
         assertEquals(0, settings.turnGapNs());
     }
 
-    private void refused(String message, String... frames) {
+    private void assertRejected(String message, String... frames) {
         WireException e = assertThrows(WireException.class, () -> run(frames));
         assertEquals(message, e.getMessage());
     }
 
     @Test
-    void malformedInputIsSaidPlainly() {
-        refused("the input ends inside a frame's header", "0000000000");
-        refused("the input ends inside a frame", "3000000001000000" + CLOCK + "03");
-        refused("2 records do not fit in a frame of 48 bytes", "3000000002000000" + CLOCK + "00".repeat(48));
-        refused("unknown event code 12", frame("", "0c" + "00".repeat(47)));
-        refused("unknown event code 0", frame("", "00".repeat(48)));
-        refused("event 7 for instance 3, which is not running", frame("", ELAPSED));
-        refused("event 10 for instance 3, which is not running", frame("", "0a03000000" + "00".repeat(43)));
-        refused("a request of class 1 of 1", start(CONFIG), frame("", INGRESS.replace("5d00", "5d01")));
-        refused(
-                "list number 5 was never given",
+    void malformedInputIsRejectedWithItsCause() {
+        assertRejected("input ends inside a frame header", "0000000000");
+        assertRejected("input ends inside a frame", "3000000001000000" + CLOCK + "03");
+        assertRejected("2 records do not fit in a frame of 48 bytes", "3000000002000000" + CLOCK + "00".repeat(48));
+        assertRejected("unknown event code 12", frame("", "0c" + "00".repeat(47)));
+        assertRejected("unknown event code 0", frame("", "00".repeat(48)));
+        assertRejected("event 7 for instance 3, which is not running", frame("", TIMER_EVENT));
+        assertRejected("event 10 for instance 3, which is not running", frame("", "0a03000000" + "00".repeat(43)));
+        assertRejected(
+                "request has class 1, number of classes is 1",
+                start(CONFIG),
+                frame("", REQUEST_EVENT.replace("5d00", "5d01")));
+        assertRejected(
+                "list number 5 was not defined",
                 start(CONFIG),
                 frame("", "0203000000022900000000000000" + "0500" + "00".repeat(32)));
-        refused(
-                "a reference of 44 bytes at 0 leaves the tail of 4 bytes",
+        assertRejected(
+                "tail reference of 44 bytes at 0 exceeds the tail of 4 bytes",
                 frame("00000000", "0b00000000000002000000" + "00".repeat(37)));
-        refused("unknown outcome 9", start(CONFIG), frame("", DONE.replace("074a12030100", "074a12030900")));
-        refused("a load report of 7 values", start(CONFIG), frame("", DONE.replace("000102000040", "000107000040")));
+        assertRejected(
+                "unknown outcome 9",
+                start(CONFIG),
+                frame("", OUTCOME_EVENT.replace("074a12030100", "074a12030900")));
+        assertRejected(
+                "load report has 7 values, maximum is 4",
+                start(CONFIG),
+                frame("", OUTCOME_EVENT.replace("000102000040", "000107000040")));
     }
 
     @Test
-    void settingsThatAreNeededAreMissedByName() {
-        refused("setting rules.cold_ns is missing", start(CONFIG.replace("rules.cold_ns=9000000000\n", "")));
-        refused("setting me is not a whole number: first", start(CONFIG.replace("me=0", "me=first")));
-        refused(
+    void missingAndInvalidSettingsAreRejectedByName() {
+        assertRejected("setting rules.cold_ns is missing", start(CONFIG.replace("rules.cold_ns=9000000000\n", "")));
+        assertRejected("setting me is not a whole number: first", start(CONFIG.replace("me=0", "me=first")));
+        assertRejected(
                 "setting rules.tip_multiple is not a number: NaN",
                 start(CONFIG.replace("tip_multiple=4.0", "tip_multiple=NaN")));
-        refused(
+        assertRejected(
                 "setting profiles.0.effect has an unknown value: twice",
                 start(CONFIG.replace("effect=deduplicated", "effect=twice")));
     }
 
     @Test
-    void aModuleThatThrowsBecomesTheExceptionAction() throws IOException {
+    void anExceptionOfTheModuleBecomesAnExceptionAction() throws IOException {
         String reply = run(
                 () -> {
                     throw new IllegalStateException("index out of range");
                 },
                 start(CONFIG),
-                frame("", INGRESS));
+                frame("", REQUEST_EVENT));
         String text = new String(HexFormat.of().parseHex(reply.substring(16 + 16 + 48)), StandardCharsets.UTF_8);
         assertEquals("4a", reply.substring(32, 34));
         assertTrue(text.contains("index out of range"), text);
     }
 
     @Test
-    void aListNumberIsTakenOverWithinABatch() throws IOException {
-        String one = "074a1203" + "0000" + "01" + "0000000000000000" + "0000" + "00" + "0000803f";
-        String topology = "0203000000002900000000000000" + "0000" + "00".repeat(32);
+    void aListNumberCanBeRedefinedWithinABatch() throws IOException {
+        String singleEntry = "074a1203" + "0000" + "01" + "0000000000000000" + "0000" + "00" + "0000803f";
+        String membersEvent = "0203000000002900000000000000" + "0000" + "00".repeat(32);
         run(
                 start(CONFIG),
                 frame(
-                        one,
+                        singleEntry,
                         "0b00000000000001000000" + "00".repeat(37),
-                        topology,
+                        membersEvent,
                         "0b00000000000000000000" + "00".repeat(37),
-                        topology));
-        assertTrue(heard.get(1).contains("51530247"), heard.get(1));
-        assertTrue(heard.get(2).endsWith("[]"), heard.get(2));
+                        membersEvent));
+        assertTrue(moduleCalls.get(1).contains("51530247"), moduleCalls.get(1));
+        assertTrue(moduleCalls.get(2).endsWith("[]"), moduleCalls.get(2));
     }
 
     @Test
-    void anInstanceThatWasKilledHearsNothing() {
-        refused(
+    void eventsForAStoppedInstanceAreRejected() {
+        assertRejected(
                 "event 7 for instance 3, which is not running",
                 start(CONFIG),
                 frame("", "0a03000000" + "00".repeat(43)),
-                frame("", ELAPSED));
+                frame("", TIMER_EVENT));
     }
 }
