--- a/src/main/java/dewstage/scale/Backend.java
+++ b/src/main/java/dewstage/scale/Backend.java
@@ -1,15 +1,15 @@
 package dewstage.scale;
 
 /**
- * One entry of discovery's list, as PROTOCOL words it. A hollow backend is no more than this: nothing listens
- * at its address.
+ * One entry of discovery's list, as PROTOCOL defines it. A hollow backend consists of its entry only: nothing
+ * listens at its address.
  *
- * @param id unique among all that ever were; names the service that it belongs to
+ * @param id never reused; contains the name of the service
  * @param hostPort an IP address and a port
  * @param cell the rack
  * @param lifecycle in_service, terminating or terminated
  * @param weight relative capacity
- * @param startedAtMs Unix time in ms, 0 for long ago
+ * @param startedAtMs Unix time of the start in ms, 0 if long ago
  */
 record Backend(String id, String hostPort, String zone, String kind, int cell, String lifecycle,
         double weight, long startedAtMs) {
@@ -19,16 +19,16 @@
         return new Backend(id, hostPort, zone, kind, cell, TERMINATED, weight, startedAtMs);
     }
 
-    Backend weighing(double now) {
-        return new Backend(id, hostPort, zone, kind, cell, lifecycle, now, startedAtMs);
+    Backend withWeight(double newWeight) {
+        return new Backend(id, hostPort, zone, kind, cell, lifecycle, newWeight, startedAtMs);
     }
 
-    /** The same machine, with a process that started at that time. */
-    Backend startedAt(long ms) {
-        return new Backend(id, hostPort, zone, kind, cell, IN_SERVICE, weight, ms);
+    /** Returns the same machine, in service with a process that was started at the given Unix time. */
+    Backend restartedAt(long startMs) {
+        return new Backend(id, hostPort, zone, kind, cell, IN_SERVICE, weight, startMs);
     }
 
-    boolean gone() {
+    boolean isTerminated() {
         return lifecycle.equals(TERMINATED);
     }
 }
--- a/src/main/java/dewstage/scale/BaselineOption.java
+++ b/src/main/java/dewstage/scale/BaselineOption.java
@@ -7,10 +7,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 
-/** An older version that is measured beside this one, if one is named. */
+/** The option that names an older build to compare with. */
 final class BaselineOption {
     @Option(names = "--baseline", paramLabel = "DIR",
-            description = "a built checkout of an older version, measured in the same run, in turns")
+            description = "a built checkout of an older version, measured alternately in the same run")
     private Path folder;
 
     void check(CommandSpec spec) {
@@ -19,11 +19,11 @@
         });
     }
 
-    boolean given() {
+    boolean isGiven() {
         return folder != null;
     }
 
-    /** As it was named; null if none was. */
+    /** Returns the folder as given; null if there is none. */
     Path folder() {
         return folder;
     }
--- a/src/main/java/dewstage/scale/Build.java
+++ b/src/main/java/dewstage/scale/Build.java
@@ -4,26 +4,26 @@
 import java.net.URISyntaxException;
 import java.nio.file.Path;
 
-/** A checkout that has been built, and the name that tables have for it. */
+/** A built checkout, with its name in tables. */
 record Build(String name, Path folder) {
     static final String OWN = "this", BASELINE = "baseline";
 
-    /** An older one, to be measured beside this. */
+    /** Returns an older build to compare with. */
     static Build baseline(Path folder) {
         return new Build(BASELINE, folder.toAbsolutePath());
     }
 
-    /** The one that runs this. */
+    /** Returns the build of this program. */
     static Build own() throws IOException {
         return new Build(OWN, ownClasses().toAbsolutePath().getParent().getParent());
     }
 
-    /** Where this program's classes are: the jar, or the folder where a test finds them. */
+    /** Returns the location of this program's classes: the jar, or the class directory in tests. */
     static Path ownClasses() throws IOException {
         try {
             return Path.of(Build.class.getProtectionDomain().getCodeSource().getLocation().toURI());
         } catch (URISyntaxException e) {
-            throw new IOException("this program's place has an odd name", e);
+            throw new IOException("invalid location of this program", e);
         }
     }
 
--- a/src/main/java/dewstage/scale/ChangesExperiment.java
+++ b/src/main/java/dewstage/scale/ChangesExperiment.java
@@ -8,29 +8,29 @@
 import picocli.CommandLine.ParameterException;
 
 /**
- * The changes of an ordinary day: one by one, all at once, and at a rate. A change of configuration is one
- * entry, a backend replaced is two: the one gone and the new one.
+ * Measures the changes of a typical day: one by one, in a burst, and at a rate. A configuration change is one
+ * entry; a replaced backend is two, the terminated one and the new one.
  */
 @Command(name = "changes",
-        description = "entries change: one by one, in a burst (--changes), at a rate (--rates); "
-                + "what replaced backends get while cold")
+        description = "changes of entries: one by one, in a burst (--changes), at a rate (--rates); "
+                + "load on replaced backends while cold")
 final class ChangesExperiment extends FleetExperiment {
     private static final String ONE = "one change", BURST = "burst";
-    private static final int SINGLES = 20, MOST_RATE = 1000;
-    /** Of the day's 24,000 backends replaced and 29,000 changes of configuration, by the thousand. */
-    private static final int REPLACED = 24, CONFIGURED = 29;
+    private static final int SINGLE_CHANGES = 20, MAX_RATE = 1000;
+    /** Thousands per day: 24,000 replaced backends and 29,000 configuration changes. */
+    private static final int REPLACEMENTS = 24, RECONFIGURATIONS = 29;
     private static final double NS_PER_S = 1e9, PERCENT = 100;
-    /** While cold backends are counted one is replaced so often. */
-    private static final int REPLACED_COLD = 8;
-    private static final double BETWEEN_S = 1;
+    /** Number and interval of the replacements while sends to cold backends are counted. */
+    private static final int COLD_REPLACEMENTS = 8;
+    private static final double COLD_INTERVAL_S = 1;
 
     @Option(names = "--rates", defaultValue = "0.9,9,18,36", split = ",", paramLabel = "R",
-            description = "entries that change in a second; the first is that of the day (${DEFAULT-VALUE})")
+            description = "changed entries per second; the first is that of a typical day (${DEFAULT-VALUE})")
     List<Double> rates;
 
     @Option(names = "--steady", defaultValue = "20", paramLabel = "S",
-            description = "each rate is held for so many seconds (${DEFAULT-VALUE})")
-    int steady;
+            description = "seconds to run each rate (${DEFAULT-VALUE})")
+    int steadyS;
 
     @Mixin
     ColdOptions cold;
@@ -39,115 +39,125 @@
     void check() {
         super.check();
         cold.check(spec);
-        Options.sizes(spec, "--steady", List.of(steady));
-        if (!rates.stream().allMatch(r -> r > 0 && r <= MOST_RATE)) {
-            throw new ParameterException(spec.commandLine(), "--rates: more than 0, at most " + MOST_RATE);
+        Options.checkSizes(spec, "--steady", List.of(steadyS));
+        if (!rates.stream().allMatch(r -> r > 0 && r <= MAX_RATE)) {
+            throw new ParameterException(spec.commandLine(),
+                    "--rates: must be more than 0 and at most " + MAX_RATE);
         }
     }
 
     @Override
-    Need need() {
-        return cold.need(super.need());
+    ResourceNeeds needs() {
+        return cold.needs(super.needs());
     }
 
     @Override
     void measure(Run run, Point point, int round, Samples samples) throws Exception {
-        try (Stage stage = new Stage(run, point, round, options.seed)) {
-            stage.start("start");
-            samples.add(stage.publishEach(ONE, SINGLES, () -> stage.fleet.reweigh(1)));
-            samples.add(stage.publish(BURST,
-                    stage.fleet.replace(point.changes() / 2, System.currentTimeMillis())));
+        try (TestBed testBed = new TestBed(run, point, round, options.seed)) {
+            testBed.start("start");
+            samples.add(testBed.publishSequentially(ONE, SINGLE_CHANGES,
+                    () -> testBed.fleet.changeWeights(1)));
+            samples.add(testBed.publish(BURST,
+                    testBed.fleet.replace(point.changes() / 2, System.currentTimeMillis())));
         }
     }
 
     @Override
     void conclude(Run run, Samples samples) throws Exception {
-        run.report().given("rates", rates).given("steady", steady);
-        ratios(run, samples);
-        rates(run);
-        new ColdSums(run, cold, options).measure("backends replaced one by one", new ColdSums.Event() {
+        run.report().parameter("rates", rates).parameter("steady", steadyS);
+        reportRatios(run, samples);
+        measureRates(run);
+        new ColdBackendLoad(run, cold, options).measure("backends replaced one by one",
+                new ColdBackendLoad.Event() {
             @Override
-            public void before(Stage stage) { }
+            public void prepare(TestBed testBed) { }
 
             @Override
-            public void starts(Stage stage) throws Exception {
-                for (int i = 0; i < REPLACED_COLD; i++) {
-                    stage.publish("replaced", stage.fleet.replace(1, System.currentTimeMillis()));
-                    stage.pass(BETWEEN_S);
+            public void startBackends(TestBed testBed) throws Exception {
+                for (int i = 0; i < COLD_REPLACEMENTS; i++) {
+                    testBed.publish("replaced", testBed.fleet.replace(1, System.currentTimeMillis()));
+                    testBed.pause(COLD_INTERVAL_S);
                 }
             }
         });
     }
 
-    private void ratios(Run run, Samples samples) {
-        int least = options.entries.get(0);
+    private void reportRatios(Run run, Samples samples) {
+        int smallest = options.entries.get(0);
         Table table = run.report().table(ONE + ": cost by size, means of all rounds", "entries",
-                "cpu ms/proxy", "against " + least, "median ms");
-        double base = one(samples, least);
+                "cpu ms/proxy", "against " + smallest, "median ms");
+        double baseCpuMs = cpuMsPerChange(samples, smallest);
         for (int entries : options.entries) {
-            double median = samples.mean(ONE, smallest(entries), s -> s.times().medianMs());
-            table.row(entries, one(samples, entries), one(samples, entries) / base, median);
+            double medianLatencyMs = samples.mean(ONE, withFewestProxies(entries),
+                    s -> s.latencies().medianMs());
+            table.row(entries, cpuMsPerChange(samples, entries),
+                    cpuMsPerChange(samples, entries) / baseCpuMs, medianLatencyMs);
         }
     }
 
-    private double one(Samples samples, int entries) {
-        return samples.mean(ONE, smallest(entries), s -> s.cpuMsPerProxy() / SINGLES);
+    private double cpuMsPerChange(Samples samples, int entries) {
+        return samples.mean(ONE, withFewestProxies(entries), s -> s.cpuMsPerProxy() / SINGLE_CHANGES);
     }
 
-    private Predicate<Point> smallest(int entries) {
+    private Predicate<Point> withFewestProxies(int entries) {
         return p -> p.entries() == entries && p.proxies() == options.proxies.get(0);
     }
 
-    /** Control at a rate of changes, and by the line through all rates at the first. */
-    private void rates(Run run) throws Exception {
-        int entries = Point.last(options.entries);
+    /** Measures the control cost at each rate of changes; fits lines for no changes and the first rate. */
+    private void measureRates(Run run) throws Exception {
+        int entries = Point.largest(options.entries);
         int proxies = options.proxies.get(0);
         Table table = run.report().table("control at a rate of changes, " + entries + " entries, " + proxies
                 + " proxies; each proxy", "round", "changes/s", "sent/s", "calls", "bytes/s",
                 "% of a core", "median ms", "p99 ms", "last ms", "missing");
-        double[][] core = new double[options.repeat * rates.size()][];
-        double[][] bytes = new double[core.length][];
-        int n = 0;
+        double[][] corePercent = new double[options.repeat * rates.size()][];
+        double[][] bytesPerS = new double[corePercent.length][];
+        int measured = 0;
         for (int round = 1; round <= options.repeat; round++) {
-            try (Stage stage = new Stage(run, new Point(entries, proxies, 1), round, options.seed)) {
-                stage.start("start");
+            try (TestBed testBed = new TestBed(run, new Point(entries, proxies, 1), round, options.seed)) {
+                testBed.start("start");
                 for (double rate : rates) {
-                    if (run.deadline().over()) {
+                    if (run.deadline().hasPassed()) {
                         return;
                     }
-                    run.progress().log("round " + round + ": " + rate + " changes a second");
-                    long from = System.nanoTime();
-                    Sample s = steady(stage, rate);
-                    double seconds = (System.nanoTime() - from) / NS_PER_S;
-                    double sent = s.changed() / seconds;
-                    core[n] = new double[] {sent, PERCENT * s.cpuNs() / NS_PER_S / seconds / proxies};
-                    bytes[n] = new double[] {sent, s.counts().bytes() / seconds / proxies};
-                    table.row(round, rate, sent, s.counts().calls(), bytes[n][1], core[n][1],
-                            s.times().medianMs(), s.times().ms(99), s.times().lastMs(), s.missing());
-                    n++;
+                    run.progress().log("round " + round + ": " + rate + " changes per second");
+                    long startNs = System.nanoTime();
+                    Sample sample = publishSteadily(testBed, rate);
+                    double seconds = (System.nanoTime() - startNs) / NS_PER_S;
+                    double sentPerS = sample.changed() / seconds;
+                    corePercent[measured] = new double[] {sentPerS,
+                        PERCENT * sample.cpuNs() / NS_PER_S / seconds / proxies};
+                    bytesPerS[measured] = new double[] {sentPerS,
+                        sample.counts().bytes() / seconds / proxies};
+                    table.row(round, rate, sentPerS, sample.counts().calls(), bytesPerS[measured][1],
+                            corePercent[measured][1],
+                            sample.latencies().medianMs(), sample.latencies().percentileMs(99),
+                            sample.latencies().maxMs(), sample.missing());
+                    measured++;
                 }
             }
         }
         run.report().table("control by the line through these", "changes/s", "% of a core", "bytes/s")
-                .row(0.0, Slope.of(core).base(), Slope.of(bytes).base())
-                .row(rates.get(0), Slope.of(core).at(rates.get(0)), Slope.of(bytes).at(rates.get(0)));
+                .row(0.0, Slope.of(corePercent).base(), Slope.of(bytesPerS).base())
+                .row(rates.get(0), Slope.of(corePercent).at(rates.get(0)),
+                        Slope.of(bytesPerS).at(rates.get(0)));
     }
 
-    private Sample steady(Stage stage, double rate) throws Exception {
-        Stage.Steady steady = stage.new Steady("rate");
-        double gapS = (2.0 * REPLACED + CONFIGURED) / (REPLACED + CONFIGURED) / rate;
-        int events = (int) Math.max(1, this.steady / gapS);
+    private Sample publishSteadily(TestBed testBed, double rate) throws Exception {
+        TestBed.SteadyChanges changes = testBed.new SteadyChanges("rate");
+        double intervalS = (2.0 * REPLACEMENTS + RECONFIGURATIONS) / (REPLACEMENTS + RECONFIGURATIONS) / rate;
+        int events = (int) Math.max(1, this.steadyS / intervalS);
         for (int i = 0; i < events; i++) {
-            boolean replaced = replaced(i + 1) > replaced(i);
-            steady.publish(replaced ? stage.fleet.replace(1, System.currentTimeMillis())
-                    : stage.fleet.reweigh(1));
-            steady.until((i + 1) * gapS);
+            boolean isReplacement = replacements(i + 1) > replacements(i);
+            changes.publish(isReplacement ? testBed.fleet.replace(1, System.currentTimeMillis())
+                    : testBed.fleet.changeWeights(1));
+            changes.sleepUntil((i + 1) * intervalS);
         }
-        return steady.end();
+        return changes.finish();
     }
 
-    /** Of so many events, those that replace a backend, spread evenly among the others. */
-    private static int replaced(int events) {
-        return events * REPLACED / (REPLACED + CONFIGURED);
+    /** Returns how many of the first events are replacements, which are spread evenly. */
+    private static int replacements(int events) {
+        return events * REPLACEMENTS / (REPLACEMENTS + RECONFIGURATIONS);
     }
 }
--- a/src/main/java/dewstage/scale/ColdOptions.java
+++ b/src/main/java/dewstage/scale/ColdOptions.java
@@ -4,38 +4,39 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 
-/** The sizes at which it is counted what cold backends get. */
+/** The options of the measurement of the load on cold backends. */
 final class ColdOptions {
     @Option(names = "--cold-proxies", defaultValue = "18,36,72,144", split = ",", paramLabel = "N",
             description = "numbers of proxies that send to cold backends, smallest first (${DEFAULT-VALUE})")
     List<Integer> proxies;
 
     @Option(names = "--per-proxy", defaultValue = "13", paramLabel = "N",
-            description = "backends for each of them, as in the fleet that is planned (${DEFAULT-VALUE})")
+            description = "backends per proxy, as in the planned fleet (${DEFAULT-VALUE})")
     int perProxy;
 
     @Option(names = "--requests", defaultValue = "20", paramLabel = "N",
-            description = "requests a second that each of them has (${DEFAULT-VALUE})")
+            description = "requests per second to each of these proxies (${DEFAULT-VALUE})")
     int requests;
 
-    @Option(names = "--no-cold", description = "leaves out what cold backends get")
-    boolean none;
+    @Option(names = "--no-cold", description = "skips the measurement of the load on cold backends")
+    boolean isDisabled;
 
     void check(CommandSpec spec) {
-        Options.sizes(spec, "--cold-proxies", proxies);
-        Options.sizes(spec, "--per-proxy", List.of(perProxy));
-        Options.sizes(spec, "--requests", List.of(requests));
+        Options.checkSizes(spec, "--cold-proxies", proxies);
+        Options.checkSizes(spec, "--per-proxy", List.of(perProxy));
+        Options.checkSizes(spec, "--requests", List.of(requests));
     }
 
     int entries(int proxies) {
         return Math.max(Fleet.ZONES, proxies * perProxy);
     }
 
-    /** What is needed, this included: one after the other. */
-    Experiment.Need need(Experiment.Need other) {
-        int most = Point.last(proxies);
-        return none ? other : new Experiment.Need(
-                Math.max(other.heapBytes(), FleetExperiment.heap(entries(most), most)),
+    /** Returns the resources needed to run another measurement and then this one. */
+    Experiment.ResourceNeeds needs(Experiment.ResourceNeeds other) {
+        int maxProxies = Point.largest(proxies);
+        return isDisabled ? other : new Experiment.ResourceNeeds(
+                Math.max(other.heapBytes(),
+                        FleetExperiment.requiredHeapBytes(entries(maxProxies), maxProxies)),
                 other.processes(), other.processBytes());
     }
 }
--- a/src/main/java/dewstage/scale/Deadline.java
+++ b/src/main/java/dewstage/scale/Deadline.java
@@ -3,30 +3,30 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** The end of an experiment's time: whatever waits, waits no longer. */
+/** The deadline of an experiment; all waits end at it. */
 final class Deadline {
-    private final long end;
+    private final long deadlineNs;
 
     Deadline(long seconds) {
-        this.end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
+        this.deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
     }
 
-    boolean over() {
-        return end - System.nanoTime() <= 0;
+    boolean hasPassed() {
+        return deadlineNs - System.nanoTime() <= 0;
     }
 
-    /** What is left of it; 0 once it is over. */
-    long leftNs() {
-        return Math.max(0, end - System.nanoTime());
+    /** Returns the remaining time in ns; 0 after the deadline. */
+    long remainingNs() {
+        return Math.max(0, deadlineNs - System.nanoTime());
     }
 
-    /** Waits for the latch, for so long at the most; false if it is not open by then. */
-    boolean await(CountDownLatch latch, long mostNs) throws InterruptedException {
-        return latch.await(Math.min(mostNs, end - System.nanoTime()), TimeUnit.NANOSECONDS);
+    /** Waits for the latch until the time-out or the deadline; returns false if it is still closed. */
+    boolean await(CountDownLatch latch, long timeoutNs) throws InterruptedException {
+        return latch.await(Math.min(timeoutNs, deadlineNs - System.nanoTime()), TimeUnit.NANOSECONDS);
     }
 
-    /** Waits for so long, or until the end. */
-    void sleep(long ns) throws InterruptedException {
-        TimeUnit.NANOSECONDS.sleep(Math.min(ns, end - System.nanoTime()));
+    /** Sleeps for a duration, but not beyond the deadline. */
+    void sleep(long durationNs) throws InterruptedException {
+        TimeUnit.NANOSECONDS.sleep(Math.min(durationNs, deadlineNs - System.nanoTime()));
     }
 }
--- a/src/main/java/dewstage/scale/DiscoveryStandIn.java
+++ b/src/main/java/dewstage/scale/DiscoveryStandIn.java
@@ -31,76 +31,80 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Stands in for discovery as PROTOCOL has it, on the loopback address: the whole list, watches with index,
- * changes and beats, answers of 503, an end of all watches, and silence. It holds the list once, however many
- * watch: each call has only its place in buffers that all share, and writes as its connection takes them.
- * All its work is done on one thread of its own; its methods may be called from any other and wait for it.
+ * A test double of the discovery service on the loopback address, as PROTOCOL defines it: full lists, watches
+ * with an index, changes and heartbeats. It can also answer 503, end all watches or become unresponsive. The
+ * encoded list is held once and shared by all watches: each call keeps only its position in a shared buffer
+ * and writes while its connection is writable. All work is done on one event loop; the methods may be called
+ * from any other thread and wait for the result.
  */
 final class DiscoveryStandIn implements AutoCloseable {
-    /** An empty line says so often that nothing has changed. */
-    private static final long BEAT_MS = 2000;
-    private static final ByteBuf BEAT = shared("1\r\n\n\r\n"), LAST = shared("0\r\n\r\n");
-    private static final ByteBuf HEAD = shared("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    /** Interval of the empty lines that keep an unchanged watch alive. */
+    private static final long HEARTBEAT_MS = 2000;
+    private static final ByteBuf HEARTBEAT = sharedBuffer("1\r\n\n\r\n"),
+            LAST_CHUNK = sharedBuffer("0\r\n\r\n");
+    private static final ByteBuf HEAD = sharedBuffer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     private static final ByteBuf
-            BUSY = shared("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
-            UNKNOWN = shared("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
-    /** A call holds so much at the most that its connection has not taken yet; slices are smaller. */
-    private static final int PENDING = 256 << 10, SLICE = 64 << 10;
-    /** By then the loop has been through a selection, unless it has a great deal else to do. */
-    private static final long SELECTED_MS = 10;
-    /** A fleet calls at once. */
+            SERVICE_UNAVAILABLE = sharedBuffer(
+                    "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
+            NOT_FOUND = sharedBuffer("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
+    /** Limit of the bytes that a call has written and its connection has not sent yet; slices are smaller. */
+    private static final int MAX_PENDING_BYTES = 256 << 10, SLICE_BYTES = 64 << 10;
+    /** Time in which the event loop completes a selection, unless it is overloaded. */
+    private static final long SELECTION_MS = 10;
+    /** Length of the accept queue: all proxies of a fleet may call at once. */
     private static final int BACKLOG = 1024;
 
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final ListHistory history;
     private final Set<Call> calls = new HashSet<>();
-    private final AtomicLong called = new AtomicLong(), refused = new AtomicLong(), wholes = new AtomicLong();
-    private final AtomicLong bytes = new AtomicLong();
+    private final AtomicLong callCount = new AtomicLong(),
+            refusedCount = new AtomicLong(), fullListCount = new AtomicLong();
+    private final AtomicLong byteCount = new AtomicLong();
     private final InetSocketAddress address;
     private volatile Channel listener;
-    private boolean silent, busy;
+    private boolean unresponsive, refusing;
 
     /**
-     * What it has counted.
+     * Counters since the start.
      *
      * @param calls requests for the list, also those refused or never answered
-     * @param refused those answered 503
-     * @param wholes how often it began to send a whole list
-     * @param bytes what it has written of answers, framing included, heads and beats too
+     * @param refused requests answered 503
+     * @param fullLists full lists that it began to send
+     * @param bytes bytes of responses written, including heads, framing and heartbeats
      */
-    record Counts(long calls, long refused, long wholes, long bytes) {
+    record Counts(long calls, long refused, long fullLists, long bytes) {
         Counts since(Counts earlier) {
-            return new Counts(calls - earlier.calls, refused - earlier.refused, wholes - earlier.wholes,
+            return new Counts(calls - earlier.calls, refused - earlier.refused, fullLists - earlier.fullLists,
                     bytes - earlier.bytes);
         }
 
         Counts plus(Counts more) {
-            return new Counts(calls + more.calls, refused + more.refused, wholes + more.wholes,
+            return new Counts(calls + more.calls, refused + more.refused, fullLists + more.fullLists,
                     bytes + more.bytes);
         }
     }
 
-    /** Listens on a free port of the loopback address; an error if there is none. */
+    /** Listens on a free port of the loopback address; throws if there is none. */
     DiscoveryStandIn(Iterable<Backend> backends) throws IOException {
         this.history = new ListHistory(backends);
         this.address = listen(0);
-        loop.scheduleAtFixedRate(this::beat, BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(this::sendHeartbeat, HEARTBEAT_MS, HEARTBEAT_MS, TimeUnit.MILLISECONDS);
     }
 
-    private static ByteBuf shared(String text) {
+    private static ByteBuf sharedBuffer(String text) {
         ByteBuf direct = Unpooled.directBuffer();
         direct.writeCharSequence(text, StandardCharsets.US_ASCII);
         return Unpooled.unreleasableBuffer(direct.asReadOnly());
     }
 
-    private <T> T on(Callable<T> work) throws IOException {
+    private <T> T runOnLoop(Callable<T> work) throws IOException {
         try {
             return loop.submit(work).get();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
         } catch (ExecutionException e) {
-            throw new IOException("discovery's stand-in: " + e.getCause(), e.getCause());
+            throw new IOException("discovery stand-in failed: " + e.getCause(), e.getCause());
         }
     }
 
@@ -108,77 +112,77 @@
         return address;
     }
 
-    /** The address as a configuration has it. */
+    /** Returns the address in the form used by configurations. */
     String hostPort() {
         return address.getAddress().getHostAddress() + ':' + address.getPort();
     }
 
     Counts counts() {
-        return new Counts(called.get(), refused.get(), wholes.get(), bytes.get());
+        return new Counts(callCount.get(), refusedCount.get(), fullListCount.get(), byteCount.get());
     }
 
-    /** How many watches are open. */
-    int watches() throws IOException {
-        return on(() -> (int) calls.stream().filter(c -> c.watches).count());
+    /** Returns the number of open watches. */
+    int watchCount() throws IOException {
+        return runOnLoop(() -> (int) calls.stream().filter(call -> call.isWatch).count());
     }
 
-    /** The version of the list that it has. */
+    /** Returns the current version of the list. */
     long generation() throws IOException {
-        return on(history::generation);
+        return runOnLoop(history::generation);
     }
 
-    /** Writes the changes to all watches as a new version, and returns that. */
+    /** Sends the changes to all watches as a new version and returns that version. */
     long publish(List<Backend> changes) throws IOException {
-        return on(() -> {
+        return runOnLoop(() -> {
             history.publish(changes);
             pump();
             return history.generation();
         });
     }
 
-    /** Writes the whole list to all watches as a new version, as one does that has lost its history. */
-    long repeatWhole() throws IOException {
-        return on(() -> {
-            history.restart();
+    /** Sends the full list to all watches as a new version, like a discovery service without a history. */
+    long resendFullList() throws IOException {
+        return runOnLoop(() -> {
+            history.reset();
             pump();
             return history.generation();
         });
     }
 
-    /** From now on calls are answered 503, or served again; watches go on. */
-    void refuseCalls(boolean on) throws IOException {
-        on(() -> busy = on);
+    /** Switches between answering new calls with 503 and serving them; open watches continue. */
+    void refuseCalls(boolean refuse) throws IOException {
+        runOnLoop(() -> refusing = refuse);
     }
 
-    /** Goes down: watches end and connections are refused. */
-    void down() throws IOException {
+    /** Ends all watches and refuses connections. */
+    void stop() throws IOException {
         listener.close().awaitUninterruptibly();
-        on(() -> {
-            new ArrayList<>(calls).forEach(c -> c.channel.close());
+        runOnLoop(() -> {
+            new ArrayList<>(calls).forEach(call -> call.channel.close());
             return null;
         });
-        // The system accepts on a closed listener until the loop next selects: only then is it really gone.
-        loop.schedule(() -> { }, SELECTED_MS, TimeUnit.MILLISECONDS).awaitUninterruptibly();
+        // A closed listener still accepts connections until the next selection of the event loop.
+        loop.schedule(() -> { }, SELECTION_MS, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
 
-    /** Is back at the same address. */
-    void up() throws IOException {
+    /** Listens again at the same address. */
+    void restart() throws IOException {
         listen(address.getPort());
     }
 
-    /** Is cut off: connections stay open, and nothing is said or answered any more. */
-    void silence() throws IOException {
-        on(() -> silent = true);
+    /** Becomes unresponsive: connections stay open but nothing is sent any more. */
+    void stopResponding() throws IOException {
+        runOnLoop(() -> unresponsive = true);
     }
 
-    /** Is no longer cut off: watches go on, and calls that came in the meantime are reset. */
-    void speak() throws IOException {
-        on(() -> {
-            silent = false;
-            for (Call c : new ArrayList<>(calls)) {
-                if (!c.answered) {
-                    c.channel.config().setOption(ChannelOption.SO_LINGER, 0);
-                    c.channel.close();
+    /** Ends {@link #stopResponding}: watches continue, calls received in the meantime are reset. */
+    void resumeResponding() throws IOException {
+        runOnLoop(() -> {
+            unresponsive = false;
+            for (Call call : new ArrayList<>(calls)) {
+                if (!call.responding) {
+                    call.channel.config().setOption(ChannelOption.SO_LINGER, 0);
+                    call.channel.close();
                 }
             }
             pump();
@@ -188,8 +192,8 @@
 
     @Override
     public void close() throws IOException {
-        down();
-        on(() -> {
+        stop();
+        runOnLoop(() -> {
             history.close();
             return null;
         });
@@ -200,15 +204,16 @@
         ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(SLICE, PENDING))
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK,
+                        new WriteBufferWaterMark(SLICE_BYTES, MAX_PENDING_BYTES))
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel c) {
-                        c.pipeline().addLast(new HttpRequestDecoder(), new Call(c));
+                    protected void initChannel(Channel accepted) {
+                        accepted.pipeline().addLast(new HttpRequestDecoder(), new Call(accepted));
                     }
                 }).bind("127.0.0.1", port).awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            throw new IOException("discovery's stand-in cannot listen on port " + port, bound.cause());
+            throw new IOException("discovery stand-in failed to listen on port " + port, bound.cause());
         }
         listener = bound.channel();
         return (InetSocketAddress) listener.localAddress();
@@ -218,18 +223,18 @@
         new ArrayList<>(calls).forEach(Call::pump);
     }
 
-    private void beat() {
-        if (!silent) {
-            calls.forEach(Call::beat);
+    private void sendHeartbeat() {
+        if (!unresponsive) {
+            calls.forEach(Call::sendHeartbeat);
         }
     }
 
-    /** A connection and its call: the version that was sent, and the place in what is being sent. */
+    /** A connection and its call: the version that was sent and the rest of the update being sent. */
     private final class Call extends SimpleChannelInboundHandler<HttpObject> {
         private final Channel channel;
-        private boolean answered, watches, pumping;
+        private boolean responding, isWatch, pumping;
         private long version = -1;
-        private ByteBuf sending;
+        private ByteBuf update;
 
         Call(Channel channel) {
             this.channel = channel;
@@ -245,92 +250,92 @@
             if (!(message instanceof HttpRequest request)) {
                 return;
             }
-            called.incrementAndGet();
-            if (silent) {
+            callCount.incrementAndGet();
+            if (unresponsive) {
                 return;
             }
-            answered = true;
-            QueryStringDecoder asked = new QueryStringDecoder(request.uri());
-            if (!asked.path().equals("/catalog/members")) {
-                write(UNKNOWN.duplicate());
-            } else if (busy) {
-                refused.incrementAndGet();
-                write(BUSY.duplicate());
+            responding = true;
+            QueryStringDecoder query = new QueryStringDecoder(request.uri());
+            if (!query.path().equals("/catalog/members")) {
+                write(NOT_FOUND.duplicate());
+            } else if (refusing) {
+                refusedCount.incrementAndGet();
+                write(SERVICE_UNAVAILABLE.duplicate());
             } else {
-                watches = asked.parameters().containsKey("stream");
-                version = index(asked);
+                isWatch = query.parameters().containsKey("stream");
+                version = requestedVersion(query);
                 write(HEAD.duplicate());
-                begin();
+                beginUpdate();
                 pump();
             }
             channel.flush();
         }
 
-        /** A watch with an index hears what came after it; any other call hears the whole list. */
-        private long index(QueryStringDecoder asked) {
-            List<String> index = asked.parameters().getOrDefault("index", List.of());
-            return watches && !index.isEmpty() ? Long.parseLong(index.get(0)) : -1;
+        /** Returns the index of a watch; -1, for the full list, if there is none or the call is no watch. */
+        private long requestedVersion(QueryStringDecoder query) {
+            List<String> indexes = query.parameters().getOrDefault("index", List.of());
+            return isWatch && !indexes.isEmpty() ? Long.parseLong(indexes.get(0)) : -1;
         }
 
-        private void begin() {
-            ListHistory.Step step = history.after(version);
-            wholes.addAndGet(step.whole() ? 1 : 0);
-            version = step.version();
-            sending = step.encoded();
+        private void beginUpdate() {
+            ListHistory.Update next = history.updateFrom(version);
+            fullListCount.addAndGet(next.isFull() ? 1 : 0);
+            version = next.version();
+            update = next.encoded();
         }
 
-        /** Writes as much as the connection takes, a share at a time: the others have their turn between. */
+        /** Writes while the connection is writable, then yields to the other calls. */
         private void pump() {
             if (pumping) {
-                return; // called back from a write or flush of its own
+                return; // re-entered from its own write or flush
             }
             pumping = true;
-            fill();
+            writePendingData();
             channel.flush();
             pumping = false;
-            if (channel.isWritable() && pending()) {
+            if (channel.isWritable() && hasPendingData()) {
                 loop.execute(this::pump);
             }
         }
 
-        private void fill() {
-            while (channel.isWritable() && pending()) {
-                if (sending == null) {
-                    begin();
+        private void writePendingData() {
+            while (channel.isWritable() && hasPendingData()) {
+                if (update == null) {
+                    beginUpdate();
                 }
-                write(sending.readRetainedSlice(Math.min(SLICE, sending.readableBytes())));
-                if (!sending.isReadable()) {
-                    drop();
-                    if (!watches) {
-                        answered = false; // the connection is free for another call
-                        write(LAST.duplicate());
+                write(update.readRetainedSlice(Math.min(SLICE_BYTES, update.readableBytes())));
+                if (!update.isReadable()) {
+                    releaseUpdate();
+                    if (!isWatch) {
+                        responding = false; // the connection can serve another call
+                        write(LAST_CHUNK.duplicate());
                     }
                 }
             }
         }
 
-        /** Has it something to send now? */
-        private boolean pending() {
-            return answered && !silent
-                    && (sending != null || watches && version < history.generation());
+        /** Returns whether there is something to send now. */
+        private boolean hasPendingData() {
+            return responding && !unresponsive
+                    && (update != null || isWatch && version < history.generation());
         }
 
-        private void beat() {
-            if (watches && sending == null && channel.isWritable()) {
-                write(BEAT.duplicate());
+        private void sendHeartbeat() {
+            if (isWatch && update == null && channel.isWritable()) {
+                write(HEARTBEAT.duplicate());
                 channel.flush();
             }
         }
 
-        private void write(ByteBuf what) {
-            bytes.addAndGet(what.readableBytes());
-            channel.write(what);
+        private void write(ByteBuf data) {
+            byteCount.addAndGet(data.readableBytes());
+            channel.write(data);
         }
 
-        private void drop() {
-            if (sending != null) {
-                sending.release();
-                sending = null;
+        private void releaseUpdate() {
+            if (update != null) {
+                update.release();
+                update = null;
             }
         }
 
@@ -342,12 +347,12 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             calls.remove(this);
-            drop();
+            releaseUpdate();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ctx.close(); // the other side has reset it, or has said what is no call
+            ctx.close(); // reset by the peer, or an invalid request
         }
     }
 }
--- a/src/main/java/dewstage/scale/Experiment.java
+++ b/src/main/java/dewstage/scale/Experiment.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** One experiment: checks what it was told, runs it within its time and hands over the report. */
+/** One experiment: checks its options, runs within its time limit and writes the report. */
 abstract class Experiment implements Callable<Integer> {
     @Spec
     CommandSpec spec;
@@ -15,40 +15,41 @@
     @Mixin
     Options options;
 
-    /** All of it within the time: what it runs in. */
+    /** The context of a run: its report, progress output and deadline. */
     record Run(Report report, Progress progress, Deadline deadline) { }
 
-    /** What it needs. */
-    record Need(long heapBytes, int processes, long processBytes) { }
+    /** The resources that an experiment needs. */
+    record ResourceNeeds(long heapBytes, int processes, long processBytes) { }
 
-    /** Throws an error of the command line unless its own options can be used. */
+    /** Throws a command line error if an option of this experiment is invalid. */
     void check() { }
 
-    abstract Need need();
+    abstract ResourceNeeds needs();
 
-    /** Measures; true if nothing was left out. */
+    /** Runs the measurements; returns false if some were left out. */
     abstract boolean measure(Run run) throws Exception;
 
     @Override
     public final Integer call() throws Exception {
         options.check(spec);
         check();
-        Need need = need();
-        String refusal = new Limits().refusal(need.heapBytes, need.processes, need.processBytes);
+        ResourceNeeds needs = needs();
+        String refusal = new Limits().refusal(needs.heapBytes, needs.processes, needs.processBytes);
         PrintWriter err = spec.commandLine().getErr();
         if (refusal != null) {
             throw new ParameterException(spec.commandLine(), refusal);
         }
-        Report report = new Report(spec.name()).given("seed", options.seed).given("entries", options.entries)
-                .given("proxies", options.proxies).given("repeat", options.repeat)
-                .given("seconds", options.seconds);
+        Report report = new Report(spec.name()).parameter("seed", options.seed)
+                .parameter("entries", options.entries).parameter("proxies", options.proxies)
+                .parameter("repeat", options.repeat)
+                .parameter("seconds", options.seconds);
         Deadline deadline = new Deadline(options.seconds);
-        boolean whole = measure(new Run(report, new Progress(err), deadline))
-                && !deadline.over(); // the last wait may have been cut short
-        if (!whole) {
-            report.remark("NOT WHOLE: the time was out before all sizes were measured");
+        boolean isComplete = measure(new Run(report, new Progress(err), deadline))
+                && !deadline.hasPassed(); // the last wait may have been cut short
+        if (!isComplete) {
+            report.remark("INCOMPLETE: the time limit was reached before all sizes were measured");
         }
         report.write(spec.commandLine().getOut(), err, options.json);
-        return whole ? 0 : 1;
+        return isComplete ? 0 : 1;
     }
 }
--- a/src/main/java/dewstage/scale/FleetExperiment.java
+++ b/src/main/java/dewstage/scale/FleetExperiment.java
@@ -4,15 +4,15 @@
 import java.util.Set;
 import picocli.CommandLine.Option;
 
-/** An experiment that goes through sizes of the list, of the bank of hollow proxies and of what changes. */
+/** An experiment over sizes of the list, numbers of hollow proxies and numbers of changed entries. */
 abstract class FleetExperiment extends Experiment {
     /**
-     * An entry in one hollow proxy: discovery's maps, the module's record. Measured as the heap's growth by
-     * `start`, rounded up; while a list is taken in as a tree it takes more.
+     * Heap per entry in one hollow proxy: the maps of discovery and the record of the module. Rounded up from
+     * the heap growth in `start`; parsing a list takes more for a while.
      */
     private static final long ENTRY_BYTES = 900;
-    /** An entry in the fleet and in discovery's stand-in, and the list as bytes, thrice while it grows. */
-    private static final long LISTED_BYTES = 1200;
+    /** Heap per entry in the fleet and the discovery stand-in, with three copies of the encoded list. */
+    private static final long LISTED_ENTRY_BYTES = 1200;
     private static final List<Integer> CHANGES = List.of(60, 240, 950, 3800);
 
     @Option(names = "--changes", split = ",", paramLabel = "N",
@@ -20,58 +20,60 @@
     List<Integer> changes = changes();
 
     @Option(names = "--warm-up", defaultValue = "8", paramLabel = "S",
-            description = "the smallest size is run for so long before anything counts (${DEFAULT-VALUE})")
-    int warmUp;
+            description = "seconds to run the smallest size before the measurements (${DEFAULT-VALUE})")
+    int warmUpS;
 
-    /** The sizes of what changes, unless the command line names others: up to a zone's backends. */
+    /** Returns the default numbers of changed entries: up to the backends of a zone. */
     List<Integer> changes() {
         return CHANGES;
     }
 
     @Override
     void check() {
-        Options.sizes(spec, "--changes", changes);
+        Options.checkSizes(spec, "--changes", changes);
     }
 
     @Override
-    Need need() {
-        return new Need(heap(Point.last(options.entries), Point.last(options.proxies)), 0, 0);
+    ResourceNeeds needs() {
+        return new ResourceNeeds(requiredHeapBytes(Point.largest(options.entries),
+                Point.largest(options.proxies)),
+                0, 0);
     }
 
-    /** What so many proxies before so many entries take here, in bytes. */
-    static long heap(long entries, long proxies) {
-        return entries * (proxies * ENTRY_BYTES + LISTED_BYTES);
+    /** Returns the heap in bytes that this process needs for the given numbers of entries and proxies. */
+    static long requiredHeapBytes(long entries, long proxies) {
+        return entries * (proxies * ENTRY_BYTES + LISTED_ENTRY_BYTES);
     }
 
     /** Measures one size once. */
     abstract void measure(Run run, Point point, int round, Samples samples) throws Exception;
 
-    /** What remains to be said of all samples. */
+    /** Evaluates all samples after the measurements. */
     abstract void conclude(Run run, Samples samples) throws Exception;
 
     @Override
     final boolean measure(Run run) throws Exception {
         try (LoggedLines loggedLines = new LoggedLines()) {
-            boolean whole = measureAll(run);
+            boolean isComplete = measureAll(run);
             loggedLines.report(run.report());
-            return whole;
+            return isComplete;
         }
     }
 
     private boolean measureAll(Run run) throws Exception {
-        run.report().given("changes", changes);
+        run.report().parameter("changes", changes);
         run.progress().log("warming up");
-        Point least = new Point(options.entries.get(0), options.proxies.get(0), changes.get(0));
-        for (Deadline warm = new Deadline(warmUp); !warm.over();) {
-            measure(run, least, 0, new Samples()); // code that is not compiled yet costs more
+        Point smallest = new Point(options.entries.get(0), options.proxies.get(0), changes.get(0));
+        for (Deadline warmUpEnd = new Deadline(warmUpS); !warmUpEnd.hasPassed();) {
+            measure(run, smallest, 0, new Samples()); // code that is not compiled yet is slower
         }
         Samples samples = new Samples();
-        boolean whole = true;
+        boolean isComplete = true;
         for (int round = 1; round <= options.repeat; round++) {
             Set<Point> points = Point.of(options.entries, options.proxies, changes);
             for (Point point : points) {
-                if (run.deadline().over()) {
-                    whole = false;
+                if (run.deadline().hasPassed()) {
+                    isComplete = false;
                     break;
                 }
                 run.progress().log("round " + round + ": " + point);
@@ -80,6 +82,6 @@
         }
         samples.report(run.report());
         conclude(run, samples);
-        return whole;
+        return isComplete;
     }
 }
--- a/src/main/java/dewstage/scale/HerdExperiment.java
+++ b/src/main/java/dewstage/scale/HerdExperiment.java
@@ -4,59 +4,59 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Discovery goes away; at its return all call again. */
+/** Measures an outage of discovery, after which all proxies call again at once. */
 @Command(name = "herd",
-        description = "discovery goes away, entries change meanwhile (--changes), all call again")
+        description = "an outage of discovery, with changes meanwhile (--changes); then all call again")
 final class HerdExperiment extends FleetExperiment {
-    private static final double BUSY_S = 2;
+    private static final double REFUSING_S = 2;
 
     @Option(names = "--away", defaultValue = "3", paramLabel = "S",
-            description = "for so many seconds it is away (${DEFAULT-VALUE})")
-    int away;
+            description = "seconds of each outage (${DEFAULT-VALUE})")
+    int awayS;
 
     @Override
     void check() {
         super.check();
-        Options.sizes(spec, "--away", List.of(away));
+        Options.checkSizes(spec, "--away", List.of(awayS));
     }
 
     @Override
     void measure(Run run, Point point, int round, Samples samples) throws Exception {
-        try (Stage stage = new Stage(run, point, round, options.seed)) {
-            stage.start("start");
-            DiscoveryStandIn discovery = stage.discovery;
-            List<Backend> changes = changeWhileAway(stage, point);
-            samples.add(stage.measure("call for changes", discovery.generation(), changes.size(),
-                    discovery::up));
-
-            changes = changeWhileAway(stage, point);
+        try (TestBed testBed = new TestBed(run, point, round, options.seed)) {
+            testBed.start("start");
+            DiscoveryStandIn discovery = testBed.discovery;
+            List<Backend> changes = changeDuringOutage(testBed, point);
+            samples.add(testBed.measure("call for changes", discovery.generation(), changes.size(),
+                    discovery::restart));
+
+            changes = changeDuringOutage(testBed, point);
             discovery.refuseCalls(true);
             DiscoveryStandIn.Counts before = discovery.counts();
-            long cpu = stage.hollows.cpuNs();
-            discovery.up();
-            stage.pass(BUSY_S);
-            samples.add(stage.since("answered 503 for " + BUSY_S + " s", before, cpu, 0));
-            samples.add(stage.measure("call after that", discovery.generation(), changes.size(),
+            long cpuBeforeNs = testBed.hollowProxies.cpuNs();
+            discovery.restart();
+            testBed.pause(REFUSING_S);
+            samples.add(testBed.since("answered 503 for " + REFUSING_S + " s", before, cpuBeforeNs, 0));
+            samples.add(testBed.measure("call after that", discovery.generation(), changes.size(),
                     () -> discovery.refuseCalls(false)));
 
-            discovery.down();
-            long version = discovery.repeatWhole(); // it has lost its history
-            stage.pass(away);
-            samples.add(stage.measure("call for the list", version, stage.fleet.backends().size(),
-                    discovery::up));
+            discovery.stop();
+            long version = discovery.resendFullList(); // it has lost its history
+            testBed.pause(awayS);
+            samples.add(testBed.measure("call for the list", version, testBed.fleet.backends().size(),
+                    discovery::restart));
         }
     }
 
-    private List<Backend> changeWhileAway(Stage stage, Point point) throws Exception {
-        stage.discovery.down();
-        List<Backend> changes = stage.fleet.reweigh(point.changes());
-        stage.discovery.publish(changes);
-        stage.pass(away);
+    private List<Backend> changeDuringOutage(TestBed testBed, Point point) throws Exception {
+        testBed.discovery.stop();
+        List<Backend> changes = testBed.fleet.changeWeights(point.changes());
+        testBed.discovery.publish(changes);
+        testBed.pause(awayS);
         return changes;
     }
 
     @Override
     void conclude(Run run, Samples samples) {
-        run.report().given("away", away);
+        run.report().parameter("away", awayS);
     }
 }
--- a/src/main/java/dewstage/scale/Limits.java
+++ b/src/main/java/dewstage/scale/Limits.java
@@ -3,43 +3,43 @@
 import com.sun.management.OperatingSystemMXBean;
 import java.lang.management.ManagementFactory;
 
-/** What the machine bears. An experiment that needs more is refused before it starts. */
+/** The resource limits of the machine. An experiment that needs more is refused before it starts. */
 final class Limits {
-    static final int MOST_PROCESSES = 300;
+    static final int MAX_PROCESSES = 300;
     private static final long MB = 1 << 20;
 
-    private final long memory;
-    private final long heap;
+    private final long memoryBytes;
+    private final long maxHeapBytes;
 
     Limits() {
         this(ManagementFactory.getPlatformMXBean(OperatingSystemMXBean.class).getTotalMemorySize(),
                 Runtime.getRuntime().maxMemory());
     }
 
-    /** For a machine with so much memory, in bytes, and a heap that may grow so far. */
-    Limits(long memory, long heap) {
-        this.memory = memory;
-        this.heap = heap;
+    /** Creates limits for a machine with the given memory and maximum heap size in bytes. */
+    Limits(long memoryBytes, long maxHeapBytes) {
+        this.memoryBytes = memoryBytes;
+        this.maxHeapBytes = maxHeapBytes;
     }
 
     /**
-     * Why this cannot be run, with the figure; null if it can.
+     * Returns the reason why an experiment cannot run, with the exceeded limit; null if it can.
      *
-     * @param heapBytes what this process will need on its heap
-     * @param processes how many processes will be started beside it
-     * @param processBytes what all of those will need
+     * @param heapBytes heap that this process will need
+     * @param processes number of processes to be started
+     * @param processBytes memory that all of those will need together
      */
     String refusal(long heapBytes, int processes, long processBytes) {
-        if (processes > MOST_PROCESSES) {
-            return "refused: this takes " + processes + " processes, more than " + MOST_PROCESSES;
+        if (processes > MAX_PROCESSES) {
+            return "refused: this needs " + processes + " processes, more than " + MAX_PROCESSES;
         }
-        if (heapBytes + processBytes > memory / 2) {
-            return "refused: this takes some " + (heapBytes + processBytes) / MB
-                    + " MB, more than half of the " + memory / MB + " MB of this machine";
+        if (heapBytes + processBytes > memoryBytes / 2) {
+            return "refused: this needs about " + (heapBytes + processBytes) / MB
+                    + " MB, more than half of the " + memoryBytes / MB + " MB of this machine";
         }
-        if (heapBytes > heap) {
-            return "refused: this takes a heap of some " + heapBytes / MB + " MB, more than the " + heap / MB
-                    + " MB that java has here: start it with -Xmx" + heapBytes / MB + "m";
+        if (heapBytes > maxHeapBytes) {
+            return "refused: this needs a heap of about " + heapBytes / MB + " MB, more than the "
+                    + maxHeapBytes / MB + " MB available: start java with -Xmx" + heapBytes / MB + "m";
         }
         return null;
     }
--- a/src/main/java/dewstage/scale/ListEncoder.java
+++ b/src/main/java/dewstage/scale/ListEncoder.java
@@ -10,58 +10,59 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Writes a list once, with the framing of a chunked answer already in it: all watches send slices of the one
- * buffer, which lies outside the heap.
+ * Encodes a list once, including the framing of a chunked response: all watches send slices of the same
+ * direct buffer.
  */
 final class ListEncoder {
     private static final JsonFactory JSON = new JsonFactory();
-    /** A chunk of a list; a few dozen entries are about one read of a socket. */
-    private static final int CHUNK = 64 << 10;
-    private static final byte[] END = {'\r', '\n'};
+    /** Size of a chunk; a few dozen entries make up about one read from a socket. */
+    private static final int CHUNK_BYTES = 64 << 10;
+    private static final byte[] CRLF = {'\r', '\n'};
 
     private ListEncoder() { }
 
-    /** One JSON object on a line of its own, as chunks; the caller releases it. */
-    static ByteBuf encode(long generation, boolean whole, Iterable<Backend> backends) {
-        ByteBuf to = Unpooled.directBuffer();
-        try (OutputStream chunks = new Chunks(to); JsonGenerator j = JSON.createGenerator(chunks)) {
-            j.writeStartObject();
-            j.writeNumberField("generation", generation);
-            j.writeBooleanField("reset", whole);
-            j.writeArrayFieldStart("instances");
-            for (Backend b : backends) {
-                entry(j, b);
+    /** Encodes a list as one line of JSON in HTTP chunks; the caller releases the buffer. */
+    static ByteBuf encode(long generation, boolean isFull, Iterable<Backend> backends) {
+        ByteBuf buffer = Unpooled.directBuffer();
+        try (OutputStream chunks = new ChunkedOutputStream(buffer);
+                JsonGenerator generator = JSON.createGenerator(chunks)) {
+            generator.writeStartObject();
+            generator.writeNumberField("generation", generation);
+            generator.writeBooleanField("reset", isFull);
+            generator.writeArrayFieldStart("instances");
+            for (Backend backend : backends) {
+                writeEntry(generator, backend);
             }
-            j.writeEndArray();
-            j.writeEndObject();
-            j.writeRaw('\n');
+            generator.writeEndArray();
+            generator.writeEndObject();
+            generator.writeRaw('\n');
         } catch (IOException e) {
-            throw new AssertionError("a buffer cannot be written to", e);
+            throw new AssertionError("failed to write to a buffer", e);
         }
-        return to;
+        return buffer;
     }
 
-    private static void entry(JsonGenerator j, Backend b) throws IOException {
-        j.writeStartObject();
-        j.writeStringField("instanceId", b.id());
-        j.writeStringField("hostPort", b.hostPort());
-        j.writeStringField("zone", b.zone());
-        j.writeStringField("machineType", b.kind());
-        j.writeNumberField("cell", b.cell());
-        j.writeStringField("lifecycle", b.lifecycle());
-        j.writeNumberField("weight", b.weight());
-        j.writeNumberField("startedAtMs", b.startedAtMs());
-        j.writeEndObject();
+    private static void writeEntry(JsonGenerator generator, Backend backend) throws IOException {
+        generator.writeStartObject();
+        generator.writeStringField("instanceId", backend.id());
+        generator.writeStringField("hostPort", backend.hostPort());
+        generator.writeStringField("zone", backend.zone());
+        generator.writeStringField("machineType", backend.kind());
+        generator.writeNumberField("cell", backend.cell());
+        generator.writeStringField("lifecycle", backend.lifecycle());
+        generator.writeNumberField("weight", backend.weight());
+        generator.writeNumberField("startedAtMs", backend.startedAtMs());
+        generator.writeEndObject();
     }
 
-    /** Frames what is written to it, a chunk at a time. */
-    private static final class Chunks extends OutputStream {
-        private final ByteBufOutputStream to;
-        private final byte[] chunk = new byte[CHUNK];
-        private int filled;
+    /** Writes its input as HTTP chunks. */
+    private static final class ChunkedOutputStream extends OutputStream {
+        private final ByteBufOutputStream target;
+        private final byte[] chunk = new byte[CHUNK_BYTES];
+        private int chunkLength;
 
-        Chunks(ByteBuf to) {
-            this.to = new ByteBufOutputStream(to);
+        ChunkedOutputStream(ByteBuf target) {
+            this.target = new ByteBufOutputStream(target);
         }
 
         @Override
@@ -70,33 +71,33 @@
         }
 
         @Override
-        public void write(byte[] bytes, int from, int length) throws IOException {
-            int at = from;
-            for (int left = length; left > 0;) {
-                int n = Math.min(left, CHUNK - filled);
-                System.arraycopy(bytes, at, chunk, filled, n);
-                filled += n;
-                at += n;
-                left -= n;
-                if (filled == CHUNK) {
-                    end();
+        public void write(byte[] bytes, int start, int length) throws IOException {
+            int position = start;
+            for (int remaining = length; remaining > 0;) {
+                int copied = Math.min(remaining, CHUNK_BYTES - chunkLength);
+                System.arraycopy(bytes, position, chunk, chunkLength, copied);
+                chunkLength += copied;
+                position += copied;
+                remaining -= copied;
+                if (chunkLength == CHUNK_BYTES) {
+                    endChunk();
                 }
             }
         }
 
-        private void end() throws IOException {
-            if (filled > 0) { // an empty chunk would end the answer
-                to.write((Integer.toHexString(filled) + "\r\n").getBytes(StandardCharsets.US_ASCII));
-                to.write(chunk, 0, filled);
-                to.write(END);
-                filled = 0;
+        private void endChunk() throws IOException {
+            if (chunkLength > 0) { // an empty chunk would end the response
+                target.write((Integer.toHexString(chunkLength) + "\r\n").getBytes(StandardCharsets.US_ASCII));
+                target.write(chunk, 0, chunkLength);
+                target.write(CRLF);
+                chunkLength = 0;
             }
         }
 
         @Override
         public void close() throws IOException {
-            end();
-            to.close();
+            endChunk();
+            target.close();
         }
     }
 }
--- a/src/main/java/dewstage/scale/ListHistory.java
+++ b/src/main/java/dewstage/scale/ListHistory.java
@@ -8,21 +8,21 @@
 import java.util.TreeMap;
 
 /**
- * The list of discovery in its latest version, and what the last versions changed. What is to be sent is
- * encoded once for all that need the same. To be used on one thread.
+ * The latest version of discovery's list and the changes of the most recent versions. Every update is encoded
+ * once and shared by all watches that need it. Not thread-safe.
  */
 final class ListHistory {
-    /** What one version changed. */
+    /** The changed entries of one version. */
     private record Version(List<Backend> changes, ByteBuf encoded) { }
 
     private final Map<String, Backend> members = new LinkedHashMap<>();
     private final TreeMap<Long, Version> versions = new TreeMap<>();
-    /** What changed after a version, up to the latest, by that version. */
-    private final Map<Long, ByteBuf> merged = new HashMap<>();
+    /** The encoded changes after a version up to the latest, by that version. */
+    private final Map<Long, ByteBuf> mergedChanges = new HashMap<>();
     private long generation = 1;
-    private int kept;
-    private ByteBuf whole;
-    private long wholeAt;
+    private int retainedChanges;
+    private ByteBuf fullList;
+    private long fullListVersion;
 
     ListHistory(Iterable<Backend> backends) {
         backends.forEach(b -> members.put(b.id(), b));
@@ -32,87 +32,88 @@
         return generation;
     }
 
-    /** A new version; changes that no longer pay beside the whole list are forgotten. */
+    /** Publishes a new version; drops the oldest changes once they exceed half of the full list. */
     void publish(List<Backend> changes) {
         generation++;
-        for (Backend b : changes) {
-            if (b.gone()) {
-                members.remove(b.id());
+        for (Backend backend : changes) {
+            if (backend.isTerminated()) {
+                members.remove(backend.id());
             } else {
-                members.put(b.id(), b);
+                members.put(backend.id(), backend);
             }
         }
         versions.put(generation, new Version(changes, ListEncoder.encode(generation, false, changes)));
-        kept += changes.size();
-        while (versions.size() > 1 && kept > members.size() / 2) {
-            forget(versions.firstKey());
+        retainedChanges += changes.size();
+        while (versions.size() > 1 && retainedChanges > members.size() / 2) {
+            discard(versions.firstKey());
         }
-        forgetMerged();
+        discardMerged();
     }
 
-    /** A new version whose changes are known to nobody: whoever is behind gets the whole list. */
-    void restart() {
+    /** Starts a new version without a history: every watch that is behind gets the full list. */
+    void reset() {
         generation++;
         while (!versions.isEmpty()) {
-            forget(versions.firstKey());
+            discard(versions.firstKey());
         }
-        forgetMerged();
+        discardMerged();
     }
 
-    private void forget(long version) {
-        Version old = versions.remove(version);
-        kept -= old.changes.size();
-        old.encoded.release();
+    private void discard(long version) {
+        Version discarded = versions.remove(version);
+        retainedChanges -= discarded.changes.size();
+        discarded.encoded.release();
     }
 
-    private void forgetMerged() {
-        merged.values().forEach(ByteBuf::release);
-        merged.clear();
+    private void discardMerged() {
+        mergedChanges.values().forEach(ByteBuf::release);
+        mergedChanges.clear();
     }
 
-    private boolean reaches(long version) {
+    private boolean hasChangesSince(long version) {
         return version == generation || !versions.isEmpty() && version >= versions.firstKey() - 1
                 && version < generation;
     }
 
     /**
-     * What brings one that has heard a version to a later one. The caller releases the buffer.
+     * Returns the update from a version to a later one. The caller releases the buffer.
      *
-     * @param version what it has heard; any that is unknown here, such as -1, gives the whole list
+     * @param version the version that the watch has; an unknown one, such as -1, results in the full list
      */
-    Step after(long version) {
-        if (!reaches(version)) {
-            if (whole == null || !reaches(wholeAt)) {
-                if (whole != null) {
-                    whole.release();
+    Update updateFrom(long version) {
+        if (!hasChangesSince(version)) {
+            if (fullList == null || !hasChangesSince(fullListVersion)) {
+                if (fullList != null) {
+                    fullList.release();
                 }
-                whole = ListEncoder.encode(generation, true, members.values());
-                wholeAt = generation;
+                fullList = ListEncoder.encode(generation, true, members.values());
+                fullListVersion = generation;
             }
-            return new Step(whole.retainedDuplicate(), wholeAt, true);
+            return new Update(fullList.retainedDuplicate(), fullListVersion, true);
         }
         if (version == generation - 1) {
-            return new Step(versions.lastEntry().getValue().encoded.retainedDuplicate(), generation, false);
+            return new Update(versions.lastEntry().getValue().encoded.retainedDuplicate(), generation, false);
         }
-        return new Step(merged.computeIfAbsent(version, this::merge).retainedDuplicate(), generation, false);
+        return new Update(mergedChanges.computeIfAbsent(version, this::merge).retainedDuplicate(),
+                generation, false);
     }
 
     private ByteBuf merge(long version) {
-        Map<String, Backend> last = new LinkedHashMap<>();
+        Map<String, Backend> latest = new LinkedHashMap<>();
         versions.tailMap(version, false).values()
-                .forEach(v -> v.changes.forEach(b -> last.put(b.id(), b)));
-        return ListEncoder.encode(generation, false, last.values());
+                .forEach(v -> v.changes.forEach(b -> latest.put(b.id(), b)));
+        return ListEncoder.encode(generation, false, latest.values());
     }
 
-    /** A list as it is sent, and the version that one has heard with it. */
-    record Step(ByteBuf encoded, long version, boolean whole) { }
+    /** An encoded list, and the version that a watch has after it. */
+    record Update(ByteBuf encoded, long version, boolean isFull) { }
 
-    /** Gives up the buffers that are kept here; those on their way live until they are sent. */
+    /** Releases the retained buffers; duplicates that are being sent remain valid until released. */
     void close() {
-        restart();
-        if (whole != null) {
-            whole.release();
-            whole = null;
+        reset();
+        if (fullList != null) {
+            fullList.release();
+            fullList = null;
         }
     }
 }
--- a/src/main/java/dewstage/scale/LoggedLines.java
+++ b/src/main/java/dewstage/scale/LoggedLines.java
@@ -8,41 +8,41 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * What the hollow proxies say on standard error, counted and not shown: hundreds of them would bury all else.
- * It has the whole process's standard error until it is closed.
+ * Counts the lines that hollow proxies log instead of printing them, since hundreds of proxies would flood
+ * the output. Replaces the standard error of this process until it is closed.
  */
 final class LoggedLines implements AutoCloseable {
-    /** The most frequent so many are told. */
-    private static final int SHOWN = 20;
+    /** Number of the most frequent lines to report. */
+    private static final int MAX_REPORTED = 20;
 
-    private final PrintStream before = System.err;
+    private final PrintStream originalErr = System.err;
     private final Map<String, Integer> counts = new ConcurrentHashMap<>();
 
     LoggedLines() {
-        System.setErr(new PrintStream(new Lines(), true, StandardCharsets.UTF_8));
+        System.setErr(new PrintStream(new LineCounter(), true, StandardCharsets.UTF_8));
     }
 
-    /** A line, and before it whose it is; each line begins with its time, which does not count. */
-    void count(String whose, String line) {
-        counts.merge(whose + line.replaceFirst("^[0-9]+ ", ""), 1, Integer::sum);
+    /** Counts a line without the time at its start; the source is put before it. */
+    void count(String source, String line) {
+        counts.merge(source + line.replaceFirst("^[0-9]+ ", ""), 1, Integer::sum);
     }
 
-    /** Adds a table to the report, if anything was said. */
+    /** Adds a table of the most frequent lines to the report, if there are any. */
     void report(Report report) {
         if (!counts.isEmpty()) {
             Table table = report.table("what the proxies said, the most frequent first", "times", "line");
             counts.entrySet().stream().sorted(Map.Entry.comparingByValue(Comparator.reverseOrder()))
-                    .limit(SHOWN).forEach(e -> table.row(e.getValue(), e.getKey()));
+                    .limit(MAX_REPORTED).forEach(e -> table.row(e.getValue(), e.getKey()));
         }
     }
 
     @Override
     public void close() {
-        System.setErr(before);
+        System.setErr(originalErr);
     }
 
-    /** The print stream holds a lock while it writes. */
-    private final class Lines extends OutputStream {
+    /** Splits the output into lines; not synchronized since the print stream holds a lock while it writes. */
+    private final class LineCounter extends OutputStream {
         private final StringBuilder line = new StringBuilder();
 
         @Override
--- a/src/main/java/dewstage/scale/Measure.java
+++ b/src/main/java/dewstage/scale/Measure.java
@@ -1,6 +1,6 @@
 package dewstage.scale;
 
-/** What the module is measured at. */
+/** The measured costs of the module. */
 enum Measure {
     SERVED("request and answer"),
     SOME_FAIL("request, 1 in 25 fails"),
--- a/src/main/java/dewstage/scale/ModuleChild.java
+++ b/src/main/java/dewstage/scale/ModuleChild.java
@@ -3,36 +3,37 @@
 import dewstage.Policy;
 
 /**
- * A process that measures the module which its class path leads with: of this build or an older one, by the
- * same events. It loads nothing but the module and what stands here, so that an older build's libraries do.
- * Arguments: a seed, entries, zones, balancers. On standard output each cost is a line, the measure and ns;
- * the last line is DONE with what the module did as one number, and the requests served and ended otherwise.
+ * A process that measures the first module on its class path, that of this build or of an older one, with the
+ * same events. It loads only the module and the classes used here, so that the libraries of an older build
+ * suffice. Arguments: seed, entries, zones, balancers. Prints a line for each cost, the measure and the cost
+ * in ns; the last line is DONE with the digest of the module's actions and the numbers of requests served and
+ * of requests refused or failed.
  */
 final class ModuleChild {
-    /** Begins the last line. */
+    /** Start of the last line of output. */
     static final String DONE = "DONE";
-    /** A small fleet's run is over so soon that it is repeated, with other seeds, until as much is seen. */
-    private static final int MOST_ROUNDS = 8, ENTRIES_SEEN = 34_000;
+    /** Limits of the repetition of small fleets, whose runs are short; each round has another seed. */
+    private static final int MAX_ROUNDS = 8, MIN_TOTAL_ENTRIES = 34_000;
 
     private ModuleChild() { }
 
     public static void main(String[] args) {
         ModuleShape shape = new ModuleShape(Integer.parseInt(args[1]), Integer.parseInt(args[2]),
                 Integer.parseInt(args[3]));
-        int rounds = Math.max(1, Math.min(MOST_ROUNDS, ENTRIES_SEEN / shape.entries()));
+        int rounds = Math.max(1, Math.min(MAX_ROUNDS, MIN_TOTAL_ENTRIES / shape.entries()));
         long digest = 0;
         int served = 0;
-        int ended = 0;
+        int rejected = 0;
         StringBuilder lines = new StringBuilder();
         for (int round = 0; round < rounds; round++) {
             VirtualHost host = new ModuleRun(Policy::new, shape, Long.parseLong(args[0]) + round,
                     System::nanoTime,
-                    (measure, ns) -> lines.append(measure).append(' ').append(ns).append('\n')).all();
+                    (measure, ns) -> lines.append(measure).append(' ').append(ns).append('\n')).runAll();
             digest = digest * 31 + host.digest();
             served += host.served();
-            ended += host.ended();
+            rejected += host.rejected();
         }
         System.out.print(lines);
-        System.out.println(DONE + ' ' + Long.toHexString(digest) + ' ' + served + ' ' + ended);
+        System.out.println(DONE + ' ' + Long.toHexString(digest) + ' ' + served + ' ' + rejected);
     }
 }
--- a/src/main/java/dewstage/scale/ModuleExperiment.java
+++ b/src/main/java/dewstage/scale/ModuleExperiment.java
@@ -15,28 +15,28 @@
 import picocli.CommandLine.Mixin;
 
 /**
- * The module alone: what requests, changes and lists cost it at each size, with no socket in between, and
- * beside it the same of an older build. Each repetition of each size is a process of its own, the builds in
- * turns.
+ * Measures the module alone: the cost of requests, changes and lists at each size without sockets, optionally
+ * compared with an older build. Each repetition of each size runs in a process of its own, alternating
+ * between the builds.
  */
 @Command(name = "module", description = "the decision module alone: work per request, change and list")
 final class ModuleExperiment extends Experiment {
     private static final int REPEAT = 3;
     private static final List<Integer> SIZES = List.of(50, 200, 1000, 4000, 17_000, 68_000);
-    /** A child's heap: four times that of a proxy, so that collections do not count as the module's work. */
+    /** Heap of a child process: four times that of a proxy, to keep collections out of the measurements. */
     private static final int HEAP_MB = 256;
-    private static final long MB = 1 << 20, OWN_HEAP = 32 * MB;
+    private static final long BYTES_PER_MB = 1 << 20, OWN_HEAP_BYTES = 32 * BYTES_PER_MB;
     private static final double THOUSAND = 1000;
     private static final String TO_BASELINE = ", this to baseline";
-    /** Ratios that the module must keep to, and the sizes that they are between. */
-    private static final double REQUEST_MOST = 1.5, CHANGE_MOST = 3, LIST_MOST = 5;
-    private static final int SMALL = 200, CHANGE_SMALL = 1000, LIST_SMALL = 17_000,
+    /** Upper bounds of cost ratios, and the sizes that are compared. */
+    private static final double MAX_REQUEST_RATIO = 1.5, MAX_CHANGE_RATIO = 3, MAX_LIST_RATIO = 5;
+    private static final int SMALL = 200, SMALL_FOR_CHANGES = 1000, SMALL_FOR_LISTS = 17_000,
             LARGE = ModuleShape.TARGET_ENTRIES;
-    /** In a trial of one build beside itself, medians of two repetitions differed by as much. */
-    private static final double NOISE = 1.15;
+    /** Ratio by which the medians of two repetitions of the same build can differ. */
+    private static final double MAX_NOISE_RATIO = 1.15;
 
-    /** How smaller fleets are cut from the target. */
-    private record Series(String title, IntFunction<ModuleShape> cut) { }
+    /** A way to scale the target down to smaller fleets. */
+    private record Series(String title, IntFunction<ModuleShape> scale) { }
 
     private static final List<Series> SERIES = List.of(
             new Series("as many entries to a zone", ModuleShape::scaled),
@@ -50,143 +50,148 @@
 
     @Override
     void check() {
-        options.entriesUnlessGiven(spec, SIZES);
-        options.repeatUnlessGiven(spec, REPEAT);
+        options.setDefaultEntries(spec, SIZES);
+        options.setDefaultRepeat(spec, REPEAT);
         baseline.check(spec);
     }
 
     @Override
-    Need need() {
-        return new Need(OWN_HEAP, 1, 2 * HEAP_MB * MB);
+    ResourceNeeds needs() {
+        return new ResourceNeeds(OWN_HEAP_BYTES, 1, 2 * HEAP_MB * BYTES_PER_MB);
     }
 
     @Override
     boolean measure(Run run) throws IOException, InterruptedException {
         builds.add(Build.own());
         baseline.build().ifPresent(builds::add);
-        Set<ModuleShape> shapes = new LinkedHashSet<>(); // at the target the series have one shape
-        SERIES.forEach(s -> options.entries.forEach(n -> shapes.add(s.cut().apply(n))));
-        boolean whole = true;
+        Set<ModuleShape> shapes = new LinkedHashSet<>(); // both series have the same shape at the target size
+        SERIES.forEach(s -> options.entries.forEach(n -> shapes.add(s.scale().apply(n))));
+        boolean isComplete = true;
         try (Processes processes = new Processes()) {
-            for (int i = 0; i < options.repeat && whole; i++) {
+            for (int i = 0; i < options.repeat && isComplete; i++) {
                 for (ModuleShape shape : shapes) {
                     for (Build build : builds) {
-                        whole &= child(run, processes, build, shape);
+                        isComplete &= runChild(run, processes, build, shape);
                     }
-                    Collections.reverse(builds); // none is always the first
+                    Collections.reverse(builds); // alternates which build runs first
                 }
                 run.progress().log("repetition " + (i + 1) + " of " + options.repeat);
             }
         }
         report(run.report());
-        return whole;
+        return isComplete;
     }
 
-    /** One process; false if the time was out before its end. */
-    private boolean child(Run run, Processes processes, Build build, ModuleShape shape)
+    /** Runs one child process; returns false if the deadline passed before it completed. */
+    private boolean runChild(Run run, Processes processes, Build build, ModuleShape shape)
             throws IOException, InterruptedException {
-        long left = run.deadline().leftNs();
-        if (left <= 0) {
+        long timeoutNs = run.deadline().remainingNs();
+        if (timeoutNs <= 0) {
             return false;
         }
-        Path said = Files.createTempFile("module", ".txt");
+        Path output = Files.createTempFile("module", ".txt");
         try {
-            Process p = processes.start(new ProcessBuilder(command(build, shape))
-                    .redirectError(ProcessBuilder.Redirect.INHERIT).redirectOutput(said.toFile()));
-            if (!p.waitFor(left, TimeUnit.NANOSECONDS)) {
+            Process process = processes.start(new ProcessBuilder(command(build, shape))
+                    .redirectError(ProcessBuilder.Redirect.INHERIT).redirectOutput(output.toFile()));
+            if (!process.waitFor(timeoutNs, TimeUnit.NANOSECONDS)) {
                 return false;
             }
-            if (p.exitValue() != 0 || !costs.take(build.name(), shape, Files.readAllLines(said))) {
-                throw new IOException(build.name() + " ended with " + p.exitValue() + " at " + shape);
+            if (process.exitValue() != 0
+                    || !costs.addOutput(build.name(), shape, Files.readAllLines(output))) {
+                throw new IOException(build.name() + " exited with " + process.exitValue() + " at " + shape);
             }
             return true;
         } finally {
-            Files.delete(said);
+            Files.delete(output);
         }
     }
 
-    /** The runtime's flags of service, but for the heap. The older build's module comes before this one's. */
+    /** Uses the JVM flags of service except for the heap; an older build comes first in the class path. */
     private List<String> command(Build build, ModuleShape shape) throws IOException {
         String own = Build.ownClasses().toString();
-        String path = build.name().equals(Build.OWN) ? own : build.jar() + File.pathSeparator + own;
+        String classPath = build.name().equals(Build.OWN) ? own : build.jar() + File.pathSeparator + own;
         return List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms" + HEAP_MB + "m", "-Xmx" + HEAP_MB + "m",
-                "-cp", path, ModuleChild.class.getName(), String.valueOf(options.seed),
+                "-cp", classPath, ModuleChild.class.getName(), String.valueOf(options.seed),
                 String.valueOf(shape.entries()), String.valueOf(shape.zones()),
                 String.valueOf(shape.balancers()));
     }
 
     private void report(Report report) {
         builds.sort((a, b) -> a.name().compareTo(b.name()));
-        for (Series s : SERIES) {
-            Table table = report.table("us in the module, " + s.title(), "what", "build", "entries", "zones",
-                    "balancers", "median", "least", "most", "to smallest", "to baseline");
-            for (Measure m : Measure.values()) {
-                for (Build b : builds) {
-                    options.entries.forEach(n -> row(table, m, b.name(), s, n));
+        for (Series series : SERIES) {
+            Table table = report.table("us in the module, " + series.title(), "what", "build", "entries",
+                    "zones", "balancers", "median", "least", "most", "to smallest", "to baseline");
+            for (Measure measure : Measure.values()) {
+                for (Build build : builds) {
+                    options.entries.forEach(n -> row(table, measure, build.name(), series, n));
                 }
             }
         }
         slopes(report.table("us for each 1,000 entries, a line through the medians", "what", "build",
                 "series", "us", "fit"));
         verdicts(new Verdicts(report));
-        for (Build b : builds) {
-            report.remark(b.name() + ": " + costs.served(b.name()) + " requests served, "
-                    + costs.ended(b.name()) + " refused or failed");
+        for (Build build : builds) {
+            report.remark(build.name() + ": " + costs.served(build.name()) + " requests served, "
+                    + costs.rejected(build.name()) + " refused or failed");
         }
-        for (Series s : SERIES) {
+        for (Series series : SERIES) {
             for (int n : options.entries) {
-                if (!costs.alike(s.cut().apply(n))) {
-                    report.remark("NOT THE SAME DECISIONS on the same events at " + s.cut().apply(n));
+                if (!costs.hasSameDecisions(series.scale().apply(n))) {
+                    report.remark("DIFFERENT DECISIONS on the same events at " + series.scale().apply(n));
                 }
             }
         }
     }
 
-    private void row(Table table, Measure m, String build, Series s, int entries) {
-        ModuleShape shape = s.cut().apply(entries);
-        table.row(m.title, build, entries, shape.zones(), shape.balancers(), costs.median(build, shape, m),
-                costs.least(build, shape, m), costs.most(build, shape, m),
-                costs.ratio(build, m, shape, s.cut().apply(options.entries.get(0))),
-                build.equals(Build.OWN) ? toBaseline(m, shape) : null);
+    private void row(Table table, Measure measure, String build, Series series, int entries) {
+        ModuleShape shape = series.scale().apply(entries);
+        table.row(measure.title, build, entries, shape.zones(), shape.balancers(),
+                costs.median(build, shape, measure),
+                costs.min(build, shape, measure), costs.max(build, shape, measure),
+                costs.ratio(build, measure, shape, series.scale().apply(options.entries.get(0))),
+                build.equals(Build.OWN) ? toBaseline(measure, shape) : null);
     }
 
     private void slopes(Table table) {
-        for (Measure m : Measure.values()) {
-            for (Series s : SERIES) {
-                for (Build b : builds) {
+        for (Measure measure : Measure.values()) {
+            for (Series series : SERIES) {
+                for (Build build : builds) {
                     Slope slope = Slope.of(options.entries.stream().map(n -> new double[] {n / THOUSAND,
-                            costs.median(b.name(), s.cut().apply(n), m)}).toArray(double[][]::new));
-                    table.row(m.title, b.name(), s.title(), slope.perUnit(), slope.fit());
+                            costs.median(build.name(), series.scale().apply(n), measure)})
+                            .toArray(double[][]::new));
+                    table.row(measure.title, build.name(), series.title(), slope.perUnit(), slope.fit());
                 }
             }
         }
     }
 
-    private double toBaseline(Measure m, ModuleShape shape) {
-        return costs.median(Build.OWN, shape, m) / costs.median(Build.BASELINE, shape, m);
+    private double toBaseline(Measure measure, ModuleShape shape) {
+        return costs.median(Build.OWN, shape, measure) / costs.median(Build.BASELINE, shape, measure);
     }
 
     private void verdicts(Verdicts verdicts) {
-        for (Build b : builds) {
-            for (Series s : SERIES) {
-                String which = b.name() + ", " + s.title() + ": ";
-                ModuleShape large = s.cut().apply(LARGE);
-                verdicts.add(which + "request and answer, 68,000 to 200", REQUEST_MOST,
-                        costs.ratio(b.name(), Measure.SERVED, large, s.cut().apply(SMALL)));
-                for (Measure m : List.of(Measure.CHANGE, Measure.CHANGE_AND_NEXT)) {
-                    verdicts.add(which + m.title + ", 68,000 to 1,000", CHANGE_MOST,
-                            costs.ratio(b.name(), m, large, s.cut().apply(CHANGE_SMALL)));
+        for (Build build : builds) {
+            for (Series series : SERIES) {
+                String prefix = build.name() + ", " + series.title() + ": ";
+                ModuleShape large = series.scale().apply(LARGE);
+                verdicts.add(prefix + "request and answer, 68,000 to 200", MAX_REQUEST_RATIO,
+                        costs.ratio(build.name(), Measure.SERVED, large, series.scale().apply(SMALL)));
+                for (Measure measure : List.of(Measure.CHANGE, Measure.CHANGE_AND_NEXT)) {
+                    verdicts.add(prefix + measure.title + ", 68,000 to 1,000", MAX_CHANGE_RATIO,
+                            costs.ratio(build.name(), measure, large,
+                                    series.scale().apply(SMALL_FOR_CHANGES)));
                 }
-                verdicts.add(which + "whole list again, 68,000 to 17,000", LIST_MOST,
-                        costs.ratio(b.name(), Measure.LIST_AGAIN, large, s.cut().apply(LIST_SMALL)));
+                verdicts.add(prefix + "whole list again, 68,000 to 17,000", MAX_LIST_RATIO,
+                        costs.ratio(build.name(), Measure.LIST_AGAIN, large,
+                                series.scale().apply(SMALL_FOR_LISTS)));
             }
         }
-        if (baseline.given()) {
-            for (Series s : SERIES) {
+        if (baseline.isGiven()) {
+            for (Series series : SERIES) {
                 for (int n : options.entries.stream().filter(n -> n <= SMALL).toList()) {
-                    verdicts.add("request and answer at " + n + ", " + s.title() + TO_BASELINE, NOISE,
-                            toBaseline(Measure.SERVED, s.cut().apply(n)));
+                    verdicts.add("request and answer at " + n + ", " + series.title() + TO_BASELINE,
+                            MAX_NOISE_RATIO, toBaseline(Measure.SERVED, series.scale().apply(n)));
                 }
             }
         }
--- a/src/main/java/dewstage/scale/ModuleRun.java
+++ b/src/main/java/dewstage/scale/ModuleRun.java
@@ -9,22 +9,22 @@
 import java.util.function.LongSupplier;
 
 /**
- * What one module's calls cost before a fleet of one shape: it is warmed, then measured in each of the
- * situations of service, always with the same events for the same shape and seed.
+ * Measures the cost of one module's calls with a fleet of one shape: warms the module up, then measures each
+ * scenario, with the same events for the same shape and seed.
  */
 final class ModuleRun {
-    /** Three times the memory that the module has of its arrivals: by then the subset is as in service. */
+    /** Three times the window in which the module remembers arrivals: the subset is then as in service. */
     static final int WARM_REQUESTS = 6 * VirtualHost.REQUESTS_PER_SECOND;
-    /** A block is so long that it holds some of the module's regular work, which comes each 50 ms. */
-    private static final int BLOCK = VirtualHost.REQUESTS_PER_SECOND / 5, BLOCKS = 9;
-    /** Until the rare failures have shown. */
-    private static final int SETTLE = 2 * VirtualHost.REQUESTS_PER_SECOND;
-    private static final int CHANGED = 12, LISTS = 5;
-    /** From one changed entry to the next: prime, so that they are spread over all zones. */
+    /** Requests of a block, which lasts long enough to contain some of the periodic work done every 50 ms. */
+    private static final int BLOCK_REQUESTS = VirtualHost.REQUESTS_PER_SECOND / 5, BLOCKS = 9;
+    /** Requests until the rare failures have taken effect. */
+    private static final int SETTLE_REQUESTS = 2 * VirtualHost.REQUESTS_PER_SECOND;
+    private static final int CHANGED_ENTRIES = 12, LIST_REPEATS = 5;
+    /** Distance between changed entries: prime, so that the changes are spread over all zones. */
     private static final int STRIDE = 7919;
-    private static final List<State> TURNS = List.of(State.DRAINING, State.GONE, State.READY);
+    private static final List<State> LIFECYCLE = List.of(State.DRAINING, State.GONE, State.READY);
 
-    /** Who hears what something cost, in ns. */
+    /** Receives measured costs in ns. */
     interface Sink {
         void cost(Measure measure, double ns);
     }
@@ -32,7 +32,7 @@
     private final ModuleShape shape;
     private final VirtualHost host;
     private final Sink sink;
-    private int changes;
+    private int changeCount;
 
     ModuleRun(Balancer.Factory factory, ModuleShape shape, long seed, LongSupplier stopwatch, Sink sink) {
         this.shape = shape;
@@ -40,77 +40,81 @@
         this.host = new VirtualHost(factory, shape.settings(), seed, stopwatch);
     }
 
-    /** All situations, one after the other; what is found of a phase is heard after it. */
-    VirtualHost all() {
-        warm();
-        requests(Measure.SERVED);
-        changes();
-        lists();
-        host.answers(Answers.SOME_FAIL);
-        host.requests(SETTLE);
-        requests(Measure.SOME_FAIL);
-        host.answers(Answers.SOME_EJECTED);
-        host.requests(SETTLE);
-        requests(Measure.SOME_EJECTED);
-        host.answers(Answers.SERVED);
-        zone();
+    /** Measures all scenarios in turn; the costs of each are reported after it. */
+    VirtualHost runAll() {
+        warmUp();
+        measureRequests(Measure.SERVED);
+        measureChanges();
+        measureLists();
+        host.respondBy(ResponseRule.SOME_FAIL);
+        host.runRequests(SETTLE_REQUESTS);
+        measureRequests(Measure.SOME_FAIL);
+        host.respondBy(ResponseRule.SOME_EJECTED);
+        host.runRequests(SETTLE_REQUESTS);
+        measureRequests(Measure.SOME_EJECTED);
+        host.respondBy(ResponseRule.SERVED);
+        measureOwnZone();
         return host;
     }
 
-    void warm() {
-        host.members(ListKind.FULL, shape.members());
-        host.requests(WARM_REQUESTS);
+    void warmUp() {
+        host.applyMembers(ListKind.FULL, shape.members());
+        host.runRequests(WARM_REQUESTS);
     }
 
-    /** Requests with their answers, and the timers that came between. */
-    void requests(Measure measure) {
+    /** Measures requests with their responses, and the timers between them. */
+    void measureRequests(Measure measure) {
         for (int i = 0; i < BLOCKS; i++) {
-            host.forgetCosts();
-            host.requests(BLOCK);
-            sink.cost(measure, work() / BLOCK);
+            host.resetCosts();
+            host.runRequests(BLOCK_REQUESTS);
+            sink.cost(measure, takeRequestCostNs() / BLOCK_REQUESTS);
             if (measure == Measure.SERVED) {
-                sink.cost(Measure.TIMER, host.mean(Call.TIMER));
+                sink.cost(Measure.TIMER, host.takeMeanCostNs(Call.TIMER));
             }
         }
     }
 
-    private double work() {
-        return host.spent(Call.REQUEST) + host.spent(Call.OUTCOME);
+    private double takeRequestCostNs() {
+        return host.takeCostNs(Call.REQUEST) + host.takeCostNs(Call.OUTCOME);
     }
 
-    /** One entry at a time drains, is gone, starts anew. What a module puts off shows in the next request. */
-    void changes() {
-        for (int i = 0; i < CHANGED * TURNS.size(); i++) {
-            State state = TURNS.get(changes % TURNS.size());
-            int place = (int) ((long) (changes / TURNS.size()) * STRIDE % shape.entries());
-            List<Member> one = List.of(shape.member(place, state, state == State.READY ? host.now() : 0));
-            host.forgetCosts();
-            host.members(ListKind.DELTA, one);
-            double change = host.spent(Call.MEMBERS);
-            host.requests(1);
-            sink.cost(Measure.CHANGE, change);
-            sink.cost(Measure.CHANGE_AND_NEXT, change + work());
-            changes++;
+    /**
+     * Measures changes of one entry at a time, which drains, is gone and starts again. Work that a module
+     * defers shows in the next request.
+     */
+    void measureChanges() {
+        for (int i = 0; i < CHANGED_ENTRIES * LIFECYCLE.size(); i++) {
+            State state = LIFECYCLE.get(changeCount % LIFECYCLE.size());
+            int index = (int) ((long) (changeCount / LIFECYCLE.size()) * STRIDE % shape.entries());
+            List<Member> changedEntry = List.of(shape.member(index, state,
+                    state == State.READY ? host.now() : 0));
+            host.resetCosts();
+            host.applyMembers(ListKind.DELTA, changedEntry);
+            double changeNs = host.takeCostNs(Call.MEMBERS);
+            host.runRequests(1);
+            sink.cost(Measure.CHANGE, changeNs);
+            sink.cost(Measure.CHANGE_AND_NEXT, changeNs + takeRequestCostNs());
+            changeCount++;
         }
     }
 
-    /** The whole list once more, with nothing new in it. */
-    void lists() {
-        List<Member> all = shape.members();
-        for (int i = 0; i < LISTS; i++) {
-            host.forgetCosts();
-            host.members(ListKind.FULL, all);
-            sink.cost(Measure.LIST_AGAIN, host.spent(Call.MEMBERS));
-            host.requests(BLOCK);
+    /** Measures the full list once more, without any change in it. */
+    void measureLists() {
+        List<Member> fullList = shape.members();
+        for (int i = 0; i < LIST_REPEATS; i++) {
+            host.resetCosts();
+            host.applyMembers(ListKind.FULL, fullList);
+            sink.cost(Measure.LIST_AGAIN, host.takeCostNs(Call.MEMBERS));
+            host.runRequests(BLOCK_REQUESTS);
         }
     }
 
-    /** The own zone has started anew: its news in one piece, then requests while it is cold. */
-    private void zone() {
-        List<Member> zone = shape.ownZone(host.now());
-        host.forgetCosts();
-        host.members(ListKind.DELTA, zone);
-        sink.cost(Measure.ZONE_ENTRY, (double) host.spent(Call.MEMBERS) / zone.size());
-        requests(Measure.COLD);
+    /** Restarts the own zone: measures the change as one update, then requests while the zone is cold. */
+    private void measureOwnZone() {
+        List<Member> ownZoneMembers = shape.ownZone(host.now());
+        host.resetCosts();
+        host.applyMembers(ListKind.DELTA, ownZoneMembers);
+        sink.cost(Measure.ZONE_ENTRY, (double) host.takeCostNs(Call.MEMBERS) / ownZoneMembers.size());
+        measureRequests(Measure.COLD);
     }
 }
--- a/src/main/java/dewstage/scale/ModuleShape.java
+++ b/src/main/java/dewstage/scale/ModuleShape.java
@@ -9,37 +9,37 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A fleet as one module is told of it: how many entries, in how many zones, before how many balancers. */
+/** The size of a fleet as one module sees it: the numbers of entries, zones and balancers. */
 record ModuleShape(int entries, int zones, int balancers) {
-    /** The target, of which smaller fleets are cut. */
+    /** The target fleet, from which smaller fleets are scaled down. */
     static final int TARGET_ENTRIES = 68_000, TARGET_ZONES = 18, TARGET_BALANCERS = 5300;
-    /** The zone that the module stands in; each shape has it. */
+    /** The zone of the module, which exists in each shape. */
     static final int OWN_ZONE = 0;
     private static final long MS = 1_000_000;
-    /** The golden ratio's bits: multiplied by it, numbers in a row lie scattered, and no two meet. */
-    private static final int SCATTER = 0x9e3779b9;
+    /** Bits of the golden ratio: an odd multiplier that scatters consecutive indices without collisions. */
+    private static final int GOLDEN_RATIO = 0x9e3779b9;
     private static final int KINDS = 3, CELLS = 4;
 
-    /** As many entries to a zone and to a balancer as at the target. */
+    /** Returns a shape with as many entries per zone and per balancer as the target. */
     static ModuleShape scaled(int entries) {
-        return new ModuleShape(entries, cut(TARGET_ZONES, entries), balancers(entries));
+        return new ModuleShape(entries, scaleDown(TARGET_ZONES, entries), balancers(entries));
     }
 
-    /** As many zones as at the target, and as many entries to a balancer. */
+    /** Returns a shape with as many zones and as many entries per balancer as the target. */
     static ModuleShape sameZones(int entries) {
         return new ModuleShape(entries, Math.min(TARGET_ZONES, entries), balancers(entries));
     }
 
-    /** The target's entries to a balancer; two at the least, for one alone has no subset. */
+    /** Keeps the entries per balancer of the target; at least 2, since a single balancer has no subset. */
     private static int balancers(int entries) {
-        return Math.max(2, cut(TARGET_BALANCERS, entries));
+        return Math.max(2, scaleDown(TARGET_BALANCERS, entries));
     }
 
-    private static int cut(int whole, int entries) {
-        return (int) Math.max(1, Math.round((double) whole * entries / TARGET_ENTRIES));
+    private static int scaleDown(int targetCount, int entries) {
+        return (int) Math.max(1, Math.round((double) targetCount * entries / TARGET_ENTRIES));
     }
 
-    /** Limits and rules of a usual deployment, with pushed lists. */
+    /** Returns the limits and rules of a typical deployment, with pushed lists. */
     Settings settings() {
         List<Profile> profiles = List.of(
                 new Profile(Effect.IDEMPOTENT, Scope.ALL, 0, 250 * MS, 600 * MS, 5, 0, false, false),
@@ -50,7 +50,7 @@
                 8800 * MS, 3, 1500 * MS, 0, 5 * MS, 0.1, false, 0, 120 * MS);
     }
 
-    /** All entries in service, the zones in turns. */
+    /** Returns all entries in service, assigned to the zones in turn. */
     List<Member> members() {
         List<Member> members = new ArrayList<>(entries);
         for (int i = 0; i < entries; i++) {
@@ -59,11 +59,12 @@
         return members;
     }
 
-    Member member(int place, State state, long bootNs) {
-        return new Member(place * SCATTER, place % KINDS, state, bootNs, place % CELLS, place % zones, 1);
+    Member member(int index, State state, long bootNs) {
+        return new Member(index * GOLDEN_RATIO, index % KINDS, state, bootNs, index % CELLS, index % zones,
+                1);
     }
 
-    /** The own zone's entries, started at a time: what stands there when a zone comes back. */
+    /** Returns the entries of the own zone, started at the given time, as after the recovery of the zone. */
     List<Member> ownZone(long bootNs) {
         List<Member> members = new ArrayList<>();
         for (int i = OWN_ZONE; i < entries; i += zones) {
--- a/src/main/java/dewstage/scale/OpenLoop.java
+++ b/src/main/java/dewstage/scale/OpenLoop.java
@@ -28,144 +28,145 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Clients that send at a steady pace whatever becomes of the answers: a request that the pace has made late
- * counts from when it was meant to go out, so that a pause shows in all requests that fall into it. Each
- * target gets the pace of one proxy. All runs on one event loop but the pacing.
+ * An open-loop load generator: sends requests at a constant rate regardless of the responses. The latency of
+ * a request counts from its scheduled time, so that a pause shows in all requests scheduled during it. Each
+ * target receives the load of one proxy. Everything but the pacing runs on one event loop.
  */
 final class OpenLoop {
-    private static final int MOST_BYTES = 64 << 10, BODY_BYTES = 200;
+    private static final int MAX_BODY_BYTES = 64 << 10, REQUEST_BODY_BYTES = 200;
     /** One request in ten is keyed, of the second class in the configuration. */
-    private static final int MIX = 10, KEYED = 1;
+    private static final int MIX_PERIOD = 10, KEYED_REMAINDER = 1;
     private static final String TIMEOUT_S = "0.600";
-    /** How long after the last request answers are waited for: a client's time-out and some. */
-    private static final long LAST_MS = 1500, LOOK_MS = 10;
+    /** Maximum wait for responses after the last request: more than the time-out of a client. */
+    private static final long DRAIN_MS = 1500, POLL_MS = 10;
 
-    /** What came of one run: the times of what was served, and how much was sent. */
-    record Result(Times times, long sent) { }
+    /** The latencies of served requests, and the number of requests sent. */
+    record Result(Latencies latencies, long sent) { }
 
-    /** Connections to one proxy, or to the backends, whose ports take turns. */
+    /** Connections to one proxy, or to the ports of the backends in turn. */
     private final class Target {
         private final List<InetSocketAddress> addresses;
         private final List<Deque<Connection>> idle;
-        private int next;
+        private int nextIndex;
 
         Target(List<InetSocketAddress> addresses) {
             this.addresses = addresses;
             this.idle = addresses.stream().<Deque<Connection>>map(a -> new ArrayDeque<>()).toList();
         }
 
-        void send(Sent sent) {
-            int place = next++ % addresses.size();
-            Connection c = idle.get(place).pollLast();
-            while (c != null && !c.channel.isActive()) {
-                c = idle.get(place).pollLast();
+        void send(ScheduledRequest request) {
+            int index = nextIndex++ % addresses.size();
+            Connection connection = idle.get(index).pollLast();
+            while (connection != null && !connection.channel.isActive()) {
+                connection = idle.get(index).pollLast();
             }
-            if (c == null) {
-                connect(place, sent);
+            if (connection == null) {
+                connect(index, request);
             } else {
-                c.begin(sent);
+                connection.begin(request);
             }
         }
 
-        private void connect(int place, Sent sent) {
-            Connection c = new Connection(idle.get(place));
+        private void connect(int index, ScheduledRequest request) {
+            Connection connection = new Connection(idle.get(index));
             ChannelFuture connect = new Bootstrap().group(loop).channel(NioSocketChannel.class)
                     .option(ChannelOption.TCP_NODELAY, true).handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
                             channel.pipeline().addLast(new HttpClientCodec(),
-                                    new HttpObjectAggregator(MOST_BYTES), c);
+                                    new HttpObjectAggregator(MAX_BODY_BYTES), connection);
                         }
-                    }).connect(addresses.get(place));
-            c.channel = connect.channel();
+                    }).connect(addresses.get(index));
+            connection.channel = connect.channel();
             connect.addListener(f -> {
                 if (f.isSuccess()) {
-                    c.begin(sent);
+                    connection.begin(request);
                 }
             });
         }
     }
 
-    /** A request and when it was meant to go out; its run takes its time down. */
-    private record Sent(long meantAt, long number, Times times) { }
+    /** A request with its scheduled time, and where its latency is recorded. */
+    private record ScheduledRequest(long scheduledNs, long number, Latencies latencies) { }
 
     private final EventLoop loop;
     private final List<Target> targets;
-    private final String prefix = UUID.randomUUID().toString().substring(0, 8) + '-';
-    private final byte[] body = new byte[BODY_BYTES];
-    private long numbers;
+    private final String idPrefix = UUID.randomUUID().toString().substring(0, 8) + '-';
+    private final byte[] body = new byte[REQUEST_BODY_BYTES];
+    private long nextNumber;
 
-    /** The targets: each the address of a proxy, or all addresses of the backends. */
+    /** Creates a generator; each target is the address of a proxy, or all addresses of the backends. */
     OpenLoop(EventLoop loop, List<List<InetSocketAddress>> targets) {
         this.loop = loop;
         this.targets = targets.stream().map(Target::new).toList();
     }
 
-    /** Sends for so long at so many requests a second to each target, and waits for the last answers. */
-    Result run(int perSecond, long lengthNs) throws InterruptedException, ExecutionException {
-        Times times = new Times();
-        long gap = TimeUnit.SECONDS.toNanos(1) / ((long) perSecond * targets.size());
-        long count = lengthNs / gap;
-        long from = System.nanoTime();
+    /** Sends requests at the given rate to each target and waits for the last responses. */
+    Result run(int requestsPerSecond, long durationNs) throws InterruptedException, ExecutionException {
+        Latencies latencies = new Latencies();
+        long intervalNs = TimeUnit.SECONDS.toNanos(1) / ((long) requestsPerSecond * targets.size());
+        long count = durationNs / intervalNs;
+        long startNs = System.nanoTime();
         for (long i = 0; i < count; i++) {
-            Sent sent = new Sent(from + i * gap, numbers++, times);
+            ScheduledRequest request = new ScheduledRequest(startNs + i * intervalNs, nextNumber++,
+                    latencies);
             Target target = targets.get((int) (i % targets.size()));
-            for (long left = sent.meantAt() - System.nanoTime(); left > 0;
-                    left = sent.meantAt() - System.nanoTime()) {
-                LockSupport.parkNanos(left);
+            for (long remainingNs = request.scheduledNs() - System.nanoTime(); remainingNs > 0;
+                    remainingNs = request.scheduledNs() - System.nanoTime()) {
+                LockSupport.parkNanos(remainingNs);
                 if (Thread.interrupted()) {
                     throw new InterruptedException();
                 }
             }
-            loop.execute(() -> target.send(sent));
+            loop.execute(() -> target.send(request));
         }
-        Times served = new Times();
-        long last = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LAST_MS);
-        while (loop.submit(times::count).get() < count && System.nanoTime() < last) {
-            Thread.sleep(LOOK_MS);
+        Latencies servedLatencies = new Latencies();
+        long drainDeadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(DRAIN_MS);
+        while (loop.submit(latencies::count).get() < count && System.nanoTime() < drainDeadline) {
+            Thread.sleep(POLL_MS);
         }
-        loop.submit(() -> served.addAll(times)).get(); // what comes later is of no run any more
-        return new Result(served, count);
+        loop.submit(() -> servedLatencies.addAll(latencies)).get(); // later responses belong to no run
+        return new Result(servedLatencies, count);
     }
 
-    private DefaultFullHttpRequest request(long number) {
-        boolean keyed = number % MIX == KEYED;
-        DefaultFullHttpRequest r = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
+    private DefaultFullHttpRequest newRequest(long number) {
+        boolean keyed = number % MIX_PERIOD == KEYED_REMAINDER;
+        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
                 keyed ? HttpMethod.POST : HttpMethod.GET, keyed ? "/order/1" : "/look/1",
                 keyed ? Unpooled.wrappedBuffer(body) : Unpooled.EMPTY_BUFFER);
-        r.headers().set(HttpHeaderNames.HOST, "scale").set("Request-Id", prefix + number)
+        request.headers().set(HttpHeaderNames.HOST, "scale").set("Request-Id", idPrefix + number)
                 .set("Request-Timeout", TIMEOUT_S);
         if (keyed) {
-            r.headers().set("Idempotency-Key", prefix + number)
-                    .set(HttpHeaderNames.CONTENT_LENGTH, BODY_BYTES);
+            request.headers().set("Idempotency-Key", idPrefix + number)
+                    .set(HttpHeaderNames.CONTENT_LENGTH, REQUEST_BODY_BYTES);
         }
-        return r;
+        return request;
     }
 
-    /** Carries one request at a time. */
+    /** A connection that carries one request at a time. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private final Deque<Connection> home;
+        private final Deque<Connection> idleConnections;
         private Channel channel;
-        private Sent sent;
+        private ScheduledRequest request;
 
-        Connection(Deque<Connection> home) {
-            this.home = home;
+        Connection(Deque<Connection> idleConnections) {
+            this.idleConnections = idleConnections;
         }
 
-        private void begin(Sent next) {
-            sent = next;
-            channel.writeAndFlush(request(next.number()));
+        private void begin(ScheduledRequest nextRequest) {
+            request = nextRequest;
+            channel.writeAndFlush(newRequest(nextRequest.number()));
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-            if (answer.status().equals(HttpResponseStatus.OK)) {
-                sent.times().add(System.nanoTime() - sent.meantAt());
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+            if (response.status().equals(HttpResponseStatus.OK)) {
+                request.latencies().add(System.nanoTime() - request.scheduledNs());
             }
-            home.addLast(this);
+            idleConnections.addLast(this);
         }
 
-        /** What was out on it counts as not served. */
+        /** Closes the connection; its request in flight counts as not served. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
--- a/src/main/java/dewstage/scale/Options.java
+++ b/src/main/java/dewstage/scale/Options.java
@@ -5,13 +5,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 
-/** What all experiments are told. */
+/** The options of all experiments. */
 final class Options {
-    /** More of anything is a slip of the hand; a list of that many entries would be 2 GB. */
-    private static final int MOST = 10_000_000;
+    /** Larger sizes are taken for mistakes; a list of this many entries would have 2 GB. */
+    private static final int MAX_SIZE = 10_000_000;
 
     @Option(names = "--seed", defaultValue = "1", paramLabel = "N",
-            description = "what all that is random comes from (${DEFAULT-VALUE})")
+            description = "seed of all random choices (${DEFAULT-VALUE})")
     long seed;
 
     @Option(names = "--entries", defaultValue = "1000,4000,17000,68000", split = ",", paramLabel = "N",
@@ -23,50 +23,51 @@
     List<Integer> proxies;
 
     @Option(names = "--repeat", defaultValue = "2", paramLabel = "N",
-            description = "how often each size is measured; all are given (${DEFAULT-VALUE})")
+            description = "number of measurements of each size, all of which are reported (${DEFAULT-VALUE})")
     int repeat;
 
     @Option(names = "--seconds", defaultValue = "900", paramLabel = "S",
-            description = "no further size is begun after so many seconds, nor waited for (${DEFAULT-VALUE})")
+            description = "time limit in seconds for starting sizes and for waiting (${DEFAULT-VALUE})")
     int seconds;
 
     @Option(names = "--json", paramLabel = "FILE",
-            description = "writes the same as JSON; - is standard output, and tables go to standard error")
+            description = "also writes JSON; - is standard output, and tables go to standard error")
     String json;
 
-    /** Throws an error of the command line unless all can be used. */
+    /** Throws a command line error if an option is invalid. */
     void check(CommandSpec spec) {
-        sizes(spec, "--entries", entries);
-        sizes(spec, "--proxies", proxies);
-        sizes(spec, "--repeat", List.of(repeat));
-        sizes(spec, "--seconds", List.of(seconds));
+        checkSizes(spec, "--entries", entries);
+        checkSizes(spec, "--proxies", proxies);
+        checkSizes(spec, "--repeat", List.of(repeat));
+        checkSizes(spec, "--seconds", List.of(seconds));
     }
 
-    /** The sizes that an experiment has of its own, where none are given. */
-    void entriesUnlessGiven(CommandSpec spec, List<Integer> usual) {
-        entries = given(spec, "--entries") ? entries : usual;
+    /** Replaces the default list sizes by those of an experiment. */
+    void setDefaultEntries(CommandSpec spec, List<Integer> defaults) {
+        entries = isGiven(spec, "--entries") ? entries : defaults;
     }
 
-    void proxiesUnlessGiven(CommandSpec spec, List<Integer> usual) {
-        proxies = given(spec, "--proxies") ? proxies : usual;
+    void setDefaultProxies(CommandSpec spec, List<Integer> defaults) {
+        proxies = isGiven(spec, "--proxies") ? proxies : defaults;
     }
 
-    void repeatUnlessGiven(CommandSpec spec, int usual) {
-        repeat = given(spec, "--repeat") ? repeat : usual;
+    void setDefaultRepeat(CommandSpec spec, int defaultRepeat) {
+        repeat = isGiven(spec, "--repeat") ? repeat : defaultRepeat;
     }
 
-    private static boolean given(CommandSpec spec, String option) {
+    private static boolean isGiven(CommandSpec spec, String option) {
         return spec.commandLine().getParseResult().hasMatchedOption(option);
     }
 
-    static void sizes(CommandSpec spec, String option, List<Integer> sizes) {
-        int last = 0;
+    /** Throws a command line error unless the sizes are positive, ascending and within the limit. */
+    static void checkSizes(CommandSpec spec, String option, List<Integer> sizes) {
+        int previous = 0;
         for (int size : sizes) {
-            if (size <= last || size > MOST) {
+            if (size <= previous || size > MAX_SIZE) {
                 throw new ParameterException(spec.commandLine(), option + ": " + size
-                        + " is not more than " + last + " and at most " + MOST);
+                        + " is not more than " + previous + " and at most " + MAX_SIZE);
             }
-            last = size;
+            previous = size;
         }
     }
 }
--- a/src/main/java/dewstage/scale/Processes.java
+++ b/src/main/java/dewstage/scale/Processes.java
@@ -6,39 +6,39 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The processes that an experiment has started. All end with it, by their handles, also if it is interrupted:
- * none is left behind, and no other is touched.
+ * The processes started by an experiment. All are terminated by their handles when the experiment ends or
+ * this process shuts down; other processes are never touched.
  */
 final class Processes implements AutoCloseable {
-    private static final long END_S = 5;
+    private static final long TERMINATION_TIMEOUT_S = 5;
 
     private final List<Process> started = new ArrayList<>();
-    private final Thread hook = new Thread(this::endAll, "end of processes");
+    private final Thread shutdownHook = new Thread(this::destroyAll, "process cleanup");
 
     Processes() {
-        Runtime.getRuntime().addShutdownHook(hook);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
     synchronized Process start(ProcessBuilder builder) throws IOException {
-        Process p = builder.start();
-        started.add(p);
-        return p;
+        Process process = builder.start();
+        started.add(process);
+        return process;
     }
 
-    private synchronized void endAll() {
+    private synchronized void destroyAll() {
         started.forEach(Process::destroyForcibly);
     }
 
     @Override
     public void close() {
-        endAll();
+        destroyAll();
         try {
-            for (Process p : started) {
-                p.waitFor(END_S, TimeUnit.SECONDS);
+            for (Process process : started) {
+                process.waitFor(TERMINATION_TIMEOUT_S, TimeUnit.SECONDS);
             }
         } catch (InterruptedException e) {
-            Thread.currentThread().interrupt(); // they have been told to end
+            Thread.currentThread().interrupt(); // termination has been requested already
         }
-        Runtime.getRuntime().removeShutdownHook(hook);
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
     }
 }
--- a/src/main/java/dewstage/scale/Progress.java
+++ b/src/main/java/dewstage/scale/Progress.java
@@ -3,17 +3,17 @@
 import java.io.PrintWriter;
 import java.util.Locale;
 
-/** Lines that show that a long run lives, with the seconds since its start. */
+/** Prints progress lines of a long run, with the seconds since its start. */
 final class Progress {
-    private final PrintWriter to;
-    private final long start = System.nanoTime();
+    private final PrintWriter out;
+    private final long startNs = System.nanoTime();
 
-    Progress(PrintWriter to) {
-        this.to = to;
+    Progress(PrintWriter out) {
+        this.out = out;
     }
 
     void log(String line) {
-        to.printf(Locale.ROOT, "%7.1f s  %s%n", (System.nanoTime() - start) / 1e9, line);
-        to.flush();
+        out.printf(Locale.ROOT, "%7.1f s  %s%n", (System.nanoTime() - startNs) / 1e9, line);
+        out.flush();
     }
 }
--- a/src/main/java/dewstage/scale/ProxyConfig.java
+++ b/src/main/java/dewstage/scale/ProxyConfig.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * The configuration of one proxy of a made-up fleet, as NODE_CONFIG names it: one cheap class that may be
- * repeated and one that is keyed, limits as usual, lists pushed, and no list to start with.
+ * The configuration of one proxy of a synthetic fleet, as read from NODE_CONFIG: an idempotent and a keyed
+ * class of requests, typical limits, pushed lists and no initial list.
  *
  * @param me the proxy's number, from 0
  * @param balancers how many proxies the fleet has
@@ -19,93 +19,92 @@
  */
 record ProxyConfig(long seed, int me, int balancers, String listen, String discovery, int memoryMb,
         int sockets) {
-    /**
-     * A cold backend falls over if it takes too much for so long, and is warm after so long. Drains have so
-     * long; no call to discovery or a backend takes longer to connect.
-     */
+    /** Time after which a cold backend under too much load collapses, and time until a backend is warm. */
     static final long FALL_NS = 1_500_000_000L, COLD_NS = 8_800_000_000L;
+    /** Duration of a drain, and limit of the time to connect to discovery or a backend. */
     private static final long DRAIN_GRACE_NS = 2_000_000_000L, CONNECT_TIMEOUT_NS = 1_000_000_000L;
-    /** Idle connections to a backend stay open so long. */
+    /** Time after which idle connections to a backend are closed. */
     private static final long KEEP_ALIVE_NS = 15_000_000_000L;
-    private static final long STEP_NS = 5_000_000L, MOST_RETRY_AFTER_NS = 1_200_000_000L;
+    private static final long STEP_NS = 5_000_000L, MAX_RETRY_AFTER_NS = 1_200_000_000L;
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** The zone that the proxy stands in; they are dealt in turn. */
+    /** Returns the zone of the proxy; zones are assigned in turn. */
     int zone() {
         return me % Fleet.ZONES;
     }
 
-    /** On one line: the start script reads the limit on memory from it line by line. */
+    /** Returns the configuration on one line, from which the start script extracts the memory limit. */
     String json() {
         StringWriter text = new StringWriter();
-        try (JsonGenerator j = JSON.createGenerator(text)) {
-            j.writeStartObject();
-            j.writeStringField("listen", listen);
-            j.writeStringField("discovery", discovery);
-            j.writeStringField("seed", Long.toHexString(seed + me));
-            j.writeObjectFieldStart("limits");
-            j.writeNumberField("cores", 1.0);
-            j.writeNumberField("memory_mb", memoryMb);
-            j.writeNumberField("sockets", sockets);
-            j.writeEndObject();
-            j.writeObjectFieldStart("settings");
-            settings(j);
-            j.writeEndObject();
-            j.writeEndObject();
+        try (JsonGenerator generator = JSON.createGenerator(text)) {
+            generator.writeStartObject();
+            generator.writeStringField("listen", listen);
+            generator.writeStringField("discovery", discovery);
+            generator.writeStringField("seed", Long.toHexString(seed + me));
+            generator.writeObjectFieldStart("limits");
+            generator.writeNumberField("cores", 1.0);
+            generator.writeNumberField("memory_mb", memoryMb);
+            generator.writeNumberField("sockets", sockets);
+            generator.writeEndObject();
+            generator.writeObjectFieldStart("settings");
+            writeSettings(generator);
+            generator.writeEndObject();
+            generator.writeEndObject();
         } catch (IOException e) {
-            throw new AssertionError("a string cannot be written to", e);
+            throw new AssertionError("failed to write to a string", e);
         }
         return text.toString();
     }
 
-    private void settings(JsonGenerator j) throws IOException {
-        j.writeNumberField("me", me);
-        j.writeNumberField("balancers", balancers);
-        j.writeNumberField("zone", zone());
-        j.writeNumberField("step_ns", STEP_NS);
-        names(j, "zones", Fleet.zones());
-        names(j, "skus", Fleet.kinds());
-        names(j, "tenants", List.of());
-        j.writeStringField("discovery", "pushed");
-        j.writeArrayFieldStart("profiles");
-        profile(j, "look", "idempotent", 250_000_000L, 600_000_000L);
-        profile(j, "order", "deduplicated", 400_000_000L, 1_200_000_000L);
-        j.writeEndArray();
-        j.writeObjectFieldStart("limits");
-        j.writeBooleanField("cancelling", true);
-        j.writeNumberField("max_attempts", 5);
-        j.writeBooleanField("retry_after", true);
-        j.writeNumberField("max_retry_after_ns", MOST_RETRY_AFTER_NS);
-        j.writeNumberField("connect_timeout_ns", CONNECT_TIMEOUT_NS);
-        j.writeNumberField("keepalive_ns", KEEP_ALIVE_NS);
-        j.writeEndObject();
-        j.writeObjectFieldStart("rules");
-        j.writeNumberField("start_capacity", 0.3);
-        j.writeNumberField("cold_ns", COLD_NS);
-        j.writeNumberField("tip_multiple", 3.0);
-        j.writeNumberField("fall_ns", FALL_NS);
-        j.writeNumberField("drain_grace_ns", DRAIN_GRACE_NS);
-        j.writeEndObject();
+    private void writeSettings(JsonGenerator generator) throws IOException {
+        generator.writeNumberField("me", me);
+        generator.writeNumberField("balancers", balancers);
+        generator.writeNumberField("zone", zone());
+        generator.writeNumberField("step_ns", STEP_NS);
+        writeNames(generator, "zones", Fleet.zoneNames());
+        writeNames(generator, "skus", Fleet.kindNames());
+        writeNames(generator, "tenants", List.of());
+        generator.writeStringField("discovery", "pushed");
+        generator.writeArrayFieldStart("profiles");
+        writeProfile(generator, "look", "idempotent", 250_000_000L, 600_000_000L);
+        writeProfile(generator, "order", "deduplicated", 400_000_000L, 1_200_000_000L);
+        generator.writeEndArray();
+        generator.writeObjectFieldStart("limits");
+        generator.writeBooleanField("cancelling", true);
+        generator.writeNumberField("max_attempts", 5);
+        generator.writeBooleanField("retry_after", true);
+        generator.writeNumberField("max_retry_after_ns", MAX_RETRY_AFTER_NS);
+        generator.writeNumberField("connect_timeout_ns", CONNECT_TIMEOUT_NS);
+        generator.writeNumberField("keepalive_ns", KEEP_ALIVE_NS);
+        generator.writeEndObject();
+        generator.writeObjectFieldStart("rules");
+        generator.writeNumberField("start_capacity", 0.3);
+        generator.writeNumberField("cold_ns", COLD_NS);
+        generator.writeNumberField("tip_multiple", 3.0);
+        generator.writeNumberField("fall_ns", FALL_NS);
+        generator.writeNumberField("drain_grace_ns", DRAIN_GRACE_NS);
+        generator.writeEndObject();
     }
 
-    private static void names(JsonGenerator j, String field, List<String> names) throws IOException {
-        j.writeArrayFieldStart(field);
+    private static void writeNames(JsonGenerator generator, String field, List<String> names)
+            throws IOException {
+        generator.writeArrayFieldStart(field);
         for (String name : names) {
-            j.writeString(name);
+            generator.writeString(name);
         }
-        j.writeEndArray();
+        generator.writeEndArray();
     }
 
-    private static void profile(JsonGenerator j, String name, String effect, long promiseNs, long giveUpNs)
-            throws IOException {
-        j.writeStartObject();
-        j.writeStringField("name", name);
-        j.writeStringField("effect", effect);
-        j.writeStringField("dedup_scope", "zone");
-        j.writeNumberField("window_ns", giveUpNs);
-        j.writeNumberField("promise_ns", promiseNs);
-        j.writeNumberField("give_up_ns", giveUpNs);
-        j.writeNumberField("worth", 1.0);
-        j.writeEndObject();
+    private static void writeProfile(JsonGenerator generator, String name, String effect, long promiseNs,
+            long giveUpNs) throws IOException {
+        generator.writeStartObject();
+        generator.writeStringField("name", name);
+        generator.writeStringField("effect", effect);
+        generator.writeStringField("dedup_scope", "zone");
+        generator.writeNumberField("window_ns", giveUpNs);
+        generator.writeNumberField("promise_ns", promiseNs);
+        generator.writeNumberField("give_up_ns", giveUpNs);
+        generator.writeNumberField("worth", 1.0);
+        generator.writeEndObject();
     }
 }
--- a/src/main/java/dewstage/scale/ProxyProcess.java
+++ b/src/main/java/dewstage/scale/ProxyProcess.java
@@ -15,16 +15,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** One real proxy in a process of its own: its start, whether it is ready, what it uses, its end. */
+/** One real proxy in a process of its own: starts it, checks its readiness and reads its resource usage. */
 final class ProxyProcess {
-    private static final int HEALTH_MS = 1000, KB_IN_MB = 1024;
+    private static final int HEALTH_TIMEOUT_MS = 1000, KB_PER_MB = 1024;
 
-    /** How a proxy is started: the command, and the folder that it starts in. */
-    record Launch(List<String> command, Path folder) {
-        /** As in service, from a checkout that has been built; by the class path where no jar runs this. */
+    /** The command that starts a proxy, and its working directory. */
+    record Launch(List<String> command, Path workingDirectory) {
+        /** Starts a built checkout as in service; from the class path if this program runs without a jar. */
         static Launch of(Build build) throws IOException {
-            boolean built = !build.name().equals(Build.OWN) || Files.isRegularFile(Build.ownClasses());
-            return new Launch(built ? List.of("sh", "deploy/serve.sh")
+            boolean usesStartScript = !build.name().equals(Build.OWN)
+                    || Files.isRegularFile(Build.ownClasses());
+            return new Launch(usesStartScript ? List.of("sh", "deploy/serve.sh")
                     : List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
                             System.getProperty("java.class.path"), Main.class.getName(), "serve"),
                     build.folder());
@@ -34,10 +35,11 @@
     private final Process process;
     private final InetSocketAddress address;
 
-    /** The configuration names discovery; where to listen is given here, and what it says goes to the log. */
+    /** Starts the proxy on a free port, with its output redirected to the log. */
     ProxyProcess(Processes processes, Launch launch, Path config, Path log) throws IOException {
         this.address = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), freePort());
-        ProcessBuilder builder = new ProcessBuilder(launch.command()).directory(launch.folder().toFile())
+        ProcessBuilder builder = new ProcessBuilder(launch.command())
+                .directory(launch.workingDirectory().toFile())
                 .redirectErrorStream(true).redirectOutput(log.toFile());
         builder.environment().remove("NODE_DISCOVERY");
         builder.environment().putAll(Map.of("NODE_CONFIG", config.toString(), "NODE_LISTEN",
@@ -45,7 +47,7 @@
         this.process = processes.start(builder);
     }
 
-    /** The system gives none of these to another so soon. */
+    /** Returns a free port; the system does not assign it again soon after it is closed. */
     private static int freePort() throws IOException {
         try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             return s.getLocalPort();
@@ -60,43 +62,43 @@
         return process.pid();
     }
 
-    boolean alive() {
+    boolean isRunning() {
         return process.isAlive();
     }
 
-    /** True if it says of itself that it is ready; false also if it does not answer in a second. */
-    boolean ready() {
-        try (Socket s = new Socket()) {
-            s.connect(address, HEALTH_MS);
-            s.setSoTimeout(HEALTH_MS);
-            OutputStream out = s.getOutputStream();
+    /** Returns whether the health check reports ready; false also if there is no response within a second. */
+    boolean isReady() {
+        try (Socket socket = new Socket()) {
+            socket.connect(address, HEALTH_TIMEOUT_MS);
+            socket.setSoTimeout(HEALTH_TIMEOUT_MS);
+            OutputStream out = socket.getOutputStream();
             out.write("GET /_health HTTP/1.1\r\nHost: scale\r\nConnection: close\r\n\r\n"
                     .getBytes(StandardCharsets.US_ASCII));
-            InputStream in = s.getInputStream();
-            String line = new String(in.readNBytes("HTTP/1.1 200".length()), StandardCharsets.US_ASCII);
-            return line.endsWith(" 200");
+            InputStream in = socket.getInputStream();
+            String statusLine = new String(in.readNBytes("HTTP/1.1 200".length()), StandardCharsets.US_ASCII);
+            return statusLine.endsWith(" 200");
         } catch (IOException e) {
-            return false; // not listening yet, or its loop stands still
+            return false; // not listening yet, or its event loop is blocked
         }
     }
 
-    /** Processor time since its start. */
+    /** Returns the processor time since its start; zero if unknown. */
     Duration processorTime() {
         return process.toHandle().info().totalCpuDuration().orElse(Duration.ZERO);
     }
 
-    /** Memory in MB, now or at its highest (VmRSS, VmHWM); 0 where the system does not tell. */
+    /** Returns the current or peak memory in MB (VmRSS, VmHWM); 0 if the system does not report it. */
     double memoryMb(String field) throws IOException {
         Path status = Path.of("/proc", String.valueOf(process.pid()), "status");
         if (!Files.exists(status)) {
             return 0;
         }
         return Files.readAllLines(status).stream().filter(l -> l.startsWith(field + ":"))
-                .mapToDouble(l -> Double.parseDouble(l.replaceAll("[^0-9]", "")) / KB_IN_MB).findFirst()
+                .mapToDouble(l -> Double.parseDouble(l.replaceAll("[^0-9]", "")) / KB_PER_MB).findFirst()
                 .orElse(0);
     }
 
-    void end() {
+    void destroy() {
         process.destroyForcibly();
     }
 }
--- a/src/main/java/dewstage/scale/RackExperiment.java
+++ b/src/main/java/dewstage/scale/RackExperiment.java
@@ -3,10 +3,10 @@
 import java.util.List;
 import picocli.CommandLine.Command;
 
-/** The backends of a rack go at once, and start again. */
-@Command(name = "rack", description = "a rack's backends go at once (--changes), and are back, cold")
+/** Measures the failure of all backends of a rack at once, and their restart. */
+@Command(name = "rack", description = "the backends of a rack fail at once (--changes), then restart cold")
 final class RackExperiment extends FleetExperiment {
-    /** One rack, and as many as share a switch at the worst. */
+    /** From one rack up to as many racks as share a switch. */
     private static final List<Integer> CHANGES = List.of(20, 40, 80, 160);
 
     @Override
@@ -16,16 +16,17 @@
 
     @Override
     void measure(Run run, Point point, int round, Samples samples) throws Exception {
-        try (Stage stage = new Stage(run, point, round, options.seed)) {
-            stage.start("start");
-            List<Backend> gone = stage.fleet.loseRacks(point.changes());
-            samples.add(stage.publish("rack gone", gone));
-            samples.add(stage.publish("rack back", stage.fleet.back(gone, System.currentTimeMillis())));
+        try (TestBed testBed = new TestBed(run, point, round, options.seed)) {
+            testBed.start("start");
+            List<Backend> failed = testBed.fleet.failRacks(point.changes());
+            samples.add(testBed.publish("rack gone", failed));
+            samples.add(testBed.publish("rack back",
+                    testBed.fleet.restart(failed, System.currentTimeMillis())));
         }
     }
 
     @Override
     void conclude(Run run, Samples samples) {
-        // The table says all.
+        // no evaluation beyond the table of samples
     }
 }
--- a/src/main/java/dewstage/scale/RealExperiment.java
+++ b/src/main/java/dewstage/scale/RealExperiment.java
@@ -15,72 +15,73 @@
 import picocli.CommandLine.ParameterException;
 
 /**
- * The control side of a real proxy in a process of its own, started as in service: alone with its list, alone
- * with the day's changes, then with hollow proxies beside it that watch the same list.
+ * Measures the control side of a real proxy in a process of its own, started as in service: alone with its
+ * list, alone with a typical rate of changes, then beside hollow proxies that watch the same list.
  */
-@Command(name = "real", description = "a real proxy beside hollow ones: ready, calls, memory, processor time")
+@Command(name = "real", description = "a real proxy beside hollow ones: readiness, calls, memory, CPU time")
 final class RealExperiment extends Experiment {
-    private static final long MB = 1 << 20;
+    private static final long BYTES_PER_MB = 1 << 20;
     private static final double NS_PER_S = 1e9, PERCENT = 100;
-    /** A proxy that is not ready by then is taken never to be; it is watched for so long all the same. */
-    private static final double READY_S = 25, LOOK_S = 0.02;
-    /** The process's work on what was sent is over by then: it is not seen from outside. */
-    private static final double SETTLED_S = 3;
+    /** A proxy that is not ready within this time counts as never ready; the measurement continues. */
+    private static final double READY_TIMEOUT_S = 25, POLL_S = 0.02;
+    /** Time for the process to apply what was sent, which cannot be observed from outside. */
+    private static final double SETTLE_S = 3;
     private static final int BURST = 3800, SOCKETS = 1024;
-    /** What control may take: MB that are alive on the heap, percent of a core. */
-    private static final double CONTROL_MB = 128, CONTROL_CORE = 5;
+    /** Upper bounds of the control side: MB of live heap and percent of a core. */
+    private static final double MAX_LIVE_MB = 128, MAX_CORE_PERCENT = 5;
 
     @Option(names = "--beside", defaultValue = "4", paramLabel = "N",
             description = "hollow proxies that watch the same list (${DEFAULT-VALUE})")
     int beside;
 
     @Option(names = "--memory", defaultValue = "192", paramLabel = "MB",
-            description = "the limit on the real proxy's memory (${DEFAULT-VALUE})")
+            description = "memory limit of the real proxy (${DEFAULT-VALUE})")
     int memoryMb;
 
     @Option(names = "--rate", defaultValue = "0.9", paramLabel = "R",
-            description = "entries that change in a second (${DEFAULT-VALUE})")
+            description = "changed entries per second (${DEFAULT-VALUE})")
     double rate;
 
     @Option(names = "--hold", defaultValue = "20", paramLabel = "S",
-            description = "they do so for so many seconds (${DEFAULT-VALUE})")
-    int hold;
+            description = "seconds for which entries change at this rate (${DEFAULT-VALUE})")
+    int holdS;
 
     @Mixin
     private BaselineOption baseline;
 
     @Override
     void check() {
-        Options.sizes(spec, "--beside", List.of(beside));
-        Options.sizes(spec, "--memory", List.of(memoryMb));
-        Options.sizes(spec, "--hold", List.of(hold));
+        Options.checkSizes(spec, "--beside", List.of(beside));
+        Options.checkSizes(spec, "--memory", List.of(memoryMb));
+        Options.checkSizes(spec, "--hold", List.of(holdS));
         if (!(rate > 0)) {
-            throw new ParameterException(spec.commandLine(), "--rate: more than 0 a second");
+            throw new ParameterException(spec.commandLine(), "--rate: must be more than 0");
         }
         baseline.check(spec);
     }
 
     @Override
-    Need need() {
-        return new Need(FleetExperiment.heap(Point.last(options.entries), beside), 1, memoryMb * MB);
+    ResourceNeeds needs() {
+        return new ResourceNeeds(FleetExperiment.requiredHeapBytes(Point.largest(options.entries), beside), 1,
+                memoryMb * BYTES_PER_MB);
     }
 
     @Override
     boolean measure(Run run) throws Exception {
-        run.report().given("beside", beside).given("memory", memoryMb).given("rate", rate).given("hold", hold)
-                .given("baseline", baseline.folder());
+        run.report().parameter("beside", beside).parameter("memory", memoryMb)
+                .parameter("rate", rate).parameter("hold", holdS).parameter("baseline", baseline.folder());
         List<Build> builds = new ArrayList<>();
         baseline.build().ifPresent(builds::add);
         builds.add(Build.own());
         RealSamples samples = new RealSamples();
-        boolean whole = true;
+        boolean isComplete = true;
         Path folder = Files.createTempDirectory("real");
         try (LoggedLines loggedLines = new LoggedLines()) {
             for (int round = 1; round <= options.repeat; round++) {
                 for (int entries : options.entries) {
                     for (Build build : builds) {
-                        whole &= !run.deadline().over();
-                        if (whole) {
+                        isComplete &= !run.deadline().hasPassed();
+                        if (isComplete) {
                             run.progress().log("round " + round + ": " + build.name() + ", " + entries);
                             Path log = folder.resolve(build.name() + '-' + entries + '-' + round + ".log");
                             samples.add(measure(run, build, entries, round, log));
@@ -99,72 +100,75 @@
                 }
             }
         }
-        samples.report(run.report(), memoryMb, CONTROL_MB, CONTROL_CORE);
-        return whole;
+        samples.report(run.report(), memoryMb, MAX_LIVE_MB, MAX_CORE_PERCENT);
+        return isComplete;
     }
 
     private RealSamples.Sample measure(Run run, Build build, int entries, int round, Path log)
             throws Exception {
         Path config = Path.of(log + ".json");
         try (Processes processes = new Processes();
-                Stage stage = new Stage(run, new Point(entries, beside, BURST), round, options.seed)) {
-            // The one place of a fleet as large as the list asks for; the hollow ones are its neighbours.
+                TestBed testBed = new TestBed(run, new Point(entries, beside, BURST), round, options.seed)) {
+            // the last proxy of a fleet that consists of it and the hollow proxies
             Files.writeString(config, new ProxyConfig(options.seed, beside, beside + 1, "127.0.0.1:0",
-                    stage.discovery.hostPort(), memoryMb, SOCKETS).json());
-            long from = System.nanoTime();
+                    testBed.discovery.hostPort(), memoryMb, SOCKETS).json());
+            long startNs = System.nanoTime();
             ProxyProcess proxy = new ProxyProcess(processes, Launch.of(build), config, log);
-            double readyS = ready(run, stage, proxy, from);
-            Duration started = proxy.processorTime();
-            DiscoveryStandIn.Counts start = stage.discovery.counts();
-            from = System.nanoTime();
-            steady(stage);
-            double seconds = (System.nanoTime() - from) / NS_PER_S;
-            Duration held = proxy.processorTime();
-            DiscoveryStandIn.Counts holding = stage.discovery.counts().since(start);
-
-            stage.start("start");
-            stage.pass(SETTLED_S);
-            Duration before = proxy.processorTime();
-            Sample burst = stage.publish("burst",
-                    stage.fleet.replace(BURST / 2, System.currentTimeMillis()));
-            stage.pass(SETTLED_S);
-            Duration afterBurst = proxy.processorTime();
-            Sample again = stage.repeatWhole("again");
-            stage.pass(SETTLED_S);
-            return new RealSamples.Sample(build.name(), entries, round, readyS, start.calls(), start.bytes(),
-                    seconds(started), PERCENT * seconds(held.minus(started)) / seconds,
-                    holding.bytes() / seconds, holding.calls(), burst.times().lastMs(),
-                    seconds(afterBurst.minus(before)), again.times().lastMs(),
-                    seconds(proxy.processorTime().minus(afterBurst)), proxy.memoryMb("VmRSS"),
-                    proxy.memoryMb("VmHWM"), LiveHeap.mb(processes, proxy.pid()), proxy.alive(),
-                    outOfMemory(log));
+            double readyS = awaitReady(run, testBed, proxy, startNs);
+            Duration cpuAtReady = proxy.processorTime();
+            DiscoveryStandIn.Counts startCounts = testBed.discovery.counts();
+            startNs = System.nanoTime();
+            publishSteadily(testBed);
+            double seconds = (System.nanoTime() - startNs) / NS_PER_S;
+            Duration cpuAfterHold = proxy.processorTime();
+            DiscoveryStandIn.Counts holdCounts = testBed.discovery.counts().since(startCounts);
+
+            testBed.start("start");
+            testBed.pause(SETTLE_S);
+            Duration cpuBeforeBurst = proxy.processorTime();
+            Sample burst = testBed.publish("burst",
+                    testBed.fleet.replace(BURST / 2, System.currentTimeMillis()));
+            testBed.pause(SETTLE_S);
+            Duration cpuAfterBurst = proxy.processorTime();
+            Sample resend = testBed.resendFullList("again");
+            testBed.pause(SETTLE_S);
+            return new RealSamples.Sample(build.name(), entries, round, readyS, startCounts.calls(),
+                    startCounts.bytes(), seconds(cpuAtReady),
+                    PERCENT * seconds(cpuAfterHold.minus(cpuAtReady)) / seconds,
+                    holdCounts.bytes() / seconds, holdCounts.calls(), burst.latencies().maxMs(),
+                    seconds(cpuAfterBurst.minus(cpuBeforeBurst)), resend.latencies().maxMs(),
+                    seconds(proxy.processorTime().minus(cpuAfterBurst)), proxy.memoryMb("VmRSS"),
+                    proxy.memoryMb("VmHWM"), LiveHeap.mb(processes, proxy.pid()), proxy.isRunning(),
+                    isOutOfMemory(log));
         }
     }
 
-    /** Seconds until it says that it is ready; NaN if it is not, after the time in which it should be. */
-    private static double ready(Run run, Stage stage, ProxyProcess proxy, long from) throws Exception {
-        while ((System.nanoTime() - from) / NS_PER_S < READY_S && !run.deadline().over() && proxy.alive()) {
-            if (proxy.ready()) {
-                return (System.nanoTime() - from) / NS_PER_S;
+    /** Returns the seconds until the proxy reports ready; NaN if it does not within the time limit. */
+    private static double awaitReady(Run run, TestBed testBed, ProxyProcess proxy, long startNs)
+            throws Exception {
+        while ((System.nanoTime() - startNs) / NS_PER_S < READY_TIMEOUT_S
+                && !run.deadline().hasPassed() && proxy.isRunning()) {
+            if (proxy.isReady()) {
+                return (System.nanoTime() - startNs) / NS_PER_S;
             }
-            stage.pass(LOOK_S);
+            testBed.pause(POLL_S);
         }
         return Double.NaN;
     }
 
-    private void steady(Stage stage) throws Exception {
-        int events = (int) Math.max(1, hold * rate);
+    private void publishSteadily(TestBed testBed) throws Exception {
+        int events = (int) Math.max(1, holdS * rate);
         for (int i = 0; i < events; i++) {
-            stage.discovery.publish(stage.fleet.reweigh(1));
-            stage.pass(1 / rate);
+            testBed.discovery.publish(testBed.fleet.changeWeights(1));
+            testBed.pause(1 / rate);
         }
     }
 
-    private static double seconds(Duration d) {
-        return d.toNanos() / NS_PER_S;
+    private static double seconds(Duration duration) {
+        return duration.toNanos() / NS_PER_S;
     }
 
-    private static boolean outOfMemory(Path log) throws IOException {
+    private static boolean isOutOfMemory(Path log) throws IOException {
         return Files.readString(log).contains("OutOfMemoryError");
     }
 }
--- a/src/main/java/dewstage/scale/RegionExperiment.java
+++ b/src/main/java/dewstage/scale/RegionExperiment.java
@@ -4,39 +4,40 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** A region is cut off from discovery: its watches are silent for long, then all return. */
+/** Measures a region that is cut off from discovery: its watches stall for a while, then all resume. */
 @Command(name = "region",
-        description = "watches are silent, entries change meanwhile (--changes), all return")
+        description = "watches stall, with changes meanwhile (--changes); then all resume")
 final class RegionExperiment extends FleetExperiment {
 
     @Option(names = "--silent", defaultValue = "20", paramLabel = "S",
-            description = "for so many seconds nothing is said (${DEFAULT-VALUE})")
-    int silent;
+            description = "seconds for which the watches stall (${DEFAULT-VALUE})")
+    int silentS;
 
     @Override
     void check() {
         super.check();
-        Options.sizes(spec, "--silent", List.of(silent));
+        Options.checkSizes(spec, "--silent", List.of(silentS));
     }
 
     @Override
     void measure(Run run, Point point, int round, Samples samples) throws Exception {
-        try (Stage stage = new Stage(run, point, round, options.seed)) {
-            stage.start("start");
-            DiscoveryStandIn discovery = stage.discovery;
+        try (TestBed testBed = new TestBed(run, point, round, options.seed)) {
+            testBed.start("start");
+            DiscoveryStandIn discovery = testBed.discovery;
             DiscoveryStandIn.Counts before = discovery.counts();
-            long cpu = stage.hollows.cpuNs();
-            discovery.silence();
-            List<Backend> changes = stage.fleet.reweigh(point.changes());
+            long cpuBeforeNs = testBed.hollowProxies.cpuNs();
+            discovery.stopResponding();
+            List<Backend> changes = testBed.fleet.changeWeights(point.changes());
             discovery.publish(changes);
-            stage.pass(silent);
-            samples.add(stage.since("silent for " + silent + " s", before, cpu, 0));
-            samples.add(stage.measure("return", discovery.generation(), changes.size(), discovery::speak));
+            testBed.pause(silentS);
+            samples.add(testBed.since("silent for " + silentS + " s", before, cpuBeforeNs, 0));
+            samples.add(testBed.measure("return", discovery.generation(), changes.size(),
+                    discovery::resumeResponding));
         }
     }
 
     @Override
     void conclude(Run run, Samples samples) {
-        run.report().given("silent", silent);
+        run.report().parameter("silent", silentS);
     }
 }
--- a/src/main/java/dewstage/scale/Report.java
+++ b/src/main/java/dewstage/scale/Report.java
@@ -14,12 +14,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** What an experiment hands over: what it was given, its tables, and remarks on what they lack. */
+/** The result of an experiment: its parameters, its tables, and remarks on incomplete results. */
 final class Report {
     private static final JsonFactory JSON = new JsonFactory();
 
     private final String experiment;
-    private final Map<String, Object> given = new LinkedHashMap<>();
+    private final Map<String, Object> parameters = new LinkedHashMap<>();
     private final List<Table> tables = new ArrayList<>();
     private final List<String> remarks = new ArrayList<>();
 
@@ -27,8 +27,8 @@
         this.experiment = experiment;
     }
 
-    Report given(String what, Object value) {
-        given.put(what, value);
+    Report parameter(String name, Object value) {
+        parameters.put(name, value);
         return this;
     }
 
@@ -38,90 +38,93 @@
         return table;
     }
 
-    /** A line under the tables. */
+    /** Adds a line that is printed under the tables. */
     void remark(String line) {
         remarks.add(line);
     }
 
-    /** Prints the tables, and the same as JSON if a file is named; - stands for the standard output. */
+    /**
+     * Prints the report and also writes it as JSON if a file is given. If the file is "-", the JSON goes to
+     * out and the text to err.
+     */
     void write(PrintWriter out, PrintWriter err, String json) throws IOException {
-        PrintWriter tablesTo = "-".equals(json) ? err : out;
-        print(tablesTo);
+        PrintWriter textOut = "-".equals(json) ? err : out;
+        print(textOut);
         if ("-".equals(json)) {
             out.println(json());
             out.flush();
         } else if (json != null) {
             try (OutputStream file = Files.newOutputStream(Path.of(json));
-                    JsonGenerator j = JSON.createGenerator(file, JsonEncoding.UTF8)) {
-                write(j);
+                    JsonGenerator generator = JSON.createGenerator(file, JsonEncoding.UTF8)) {
+                write(generator);
             }
         }
     }
 
-    private void print(PrintWriter to) {
-        to.println(experiment + " " + given);
-        tables.forEach(t -> to.print(t.text()));
-        remarks.forEach(to::println);
-        to.flush();
+    private void print(PrintWriter out) {
+        out.println(experiment + " " + parameters);
+        tables.forEach(t -> out.print(t.text()));
+        remarks.forEach(out::println);
+        out.flush();
     }
 
     String json() throws IOException {
         StringWriter text = new StringWriter();
-        try (JsonGenerator j = JSON.createGenerator(text)) {
-            write(j);
+        try (JsonGenerator generator = JSON.createGenerator(text)) {
+            write(generator);
         }
         return text.toString();
     }
 
-    private void write(JsonGenerator j) throws IOException {
-        j.writeStartObject();
-        j.writeStringField("experiment", experiment);
-        j.writeObjectFieldStart("given");
-        for (Map.Entry<String, Object> e : given.entrySet()) {
-            j.writeFieldName(e.getKey());
-            value(j, e.getValue());
+    private void write(JsonGenerator generator) throws IOException {
+        generator.writeStartObject();
+        generator.writeStringField("experiment", experiment);
+        generator.writeObjectFieldStart("given");
+        for (Map.Entry<String, Object> parameter : parameters.entrySet()) {
+            generator.writeFieldName(parameter.getKey());
+            writeValue(generator, parameter.getValue());
         }
-        j.writeEndObject();
-        j.writeArrayFieldStart("tables");
-        for (Table t : tables) {
-            table(j, t);
+        generator.writeEndObject();
+        generator.writeArrayFieldStart("tables");
+        for (Table table : tables) {
+            writeTable(generator, table);
         }
-        j.writeEndArray();
-        j.writeArrayFieldStart("remarks");
+        generator.writeEndArray();
+        generator.writeArrayFieldStart("remarks");
         for (String line : remarks) {
-            j.writeString(line);
+            generator.writeString(line);
         }
-        j.writeEndArray();
-        j.writeEndObject();
+        generator.writeEndArray();
+        generator.writeEndObject();
     }
 
-    private static void table(JsonGenerator j, Table t) throws IOException {
-        j.writeStartObject();
-        j.writeStringField("title", t.title);
-        j.writeArrayFieldStart("rows");
-        for (Object[] row : t.rows) {
-            j.writeStartObject();
-            for (int c = 0; c < row.length; c++) {
-                j.writeFieldName(t.columns.get(c));
-                value(j, row[c]);
+    private static void writeTable(JsonGenerator generator, Table table) throws IOException {
+        generator.writeStartObject();
+        generator.writeStringField("title", table.title);
+        generator.writeArrayFieldStart("rows");
+        for (Object[] row : table.rows) {
+            generator.writeStartObject();
+            for (int column = 0; column < row.length; column++) {
+                generator.writeFieldName(table.columns.get(column));
+                writeValue(generator, row[column]);
             }
-            j.writeEndObject();
+            generator.writeEndObject();
         }
-        j.writeEndArray();
-        j.writeEndObject();
+        generator.writeEndArray();
+        generator.writeEndObject();
     }
 
-    private static void value(JsonGenerator j, Object value) throws IOException {
+    private static void writeValue(JsonGenerator generator, Object value) throws IOException {
         if (value == null || value instanceof Double d && !Double.isFinite(d)) {
-            j.writeNull(); // JSON has no word for what is not a number
+            generator.writeNull(); // JSON cannot represent NaN and infinity
         } else if (value instanceof Double d) {
-            j.writeNumber(d);
+            generator.writeNumber(d);
         } else if (value instanceof Number n) {
-            j.writeNumber(n.longValue());
+            generator.writeNumber(n.longValue());
         } else if (value instanceof Boolean b) {
-            j.writeBoolean(b);
+            generator.writeBoolean(b);
         } else {
-            j.writeString(value.toString());
+            generator.writeString(value.toString());
         }
     }
 }
--- a/src/main/java/dewstage/scale/RequestExperiment.java
+++ b/src/main/java/dewstage/scale/RequestExperiment.java
@@ -21,213 +21,227 @@
 import picocli.CommandLine.ParameterException;
 
 /**
- * Real proxies in processes of their own, before lists of several sizes that lead to the same few real
- * backends: what they add to a request's time against those backends directly, and what they use. One side
- * at a time is under load, in turns; all its proxies get the pace of service at once.
+ * Measures the latency that real proxies add to requests, and the resources they use, with lists of several
+ * sizes that refer to the same few real backends. The groups of proxies are loaded one at a time, in turn;
+ * all proxies of a group receive the request rate of service at once.
  */
-@Command(name = "request", description = "time added by real proxies, small and large list, in turns")
+@Command(name = "request", description = "latency added by real proxies with small and large lists, in turn")
 final class RequestExperiment extends Experiment {
     private static final List<Integer> SIZES = List.of(200, 68_000), PROXIES = List.of(2);
-    private static final int SMALL = 200, LARGE = ModuleShape.TARGET_ENTRIES;
-    /** What the fleet ahead allows: the added time at the 99th percentile, and its growth with the list. */
-    private static final double ADDED_MOST_MS = 2.3, GROWTH_MOST = 1.2, PERCENTILE = 99;
+    private static final int SMALL_ENTRIES = 200, LARGE_ENTRIES = ModuleShape.TARGET_ENTRIES;
+    /** Upper bounds for the planned fleet: added latency at the 99th percentile, growth with the list. */
+    private static final double MAX_ADDED_MS = 2.3, MAX_GROWTH = 1.2, PERCENTILE = 99;
     private static final double PERCENT = 100;
-    /** Sides take turns after so long, so that what else the machine does meets all of them. */
+    /** Length of a turn; the groups alternate so that other load on the machine affects all of them. */
     private static final int SLICE_S = 2;
-    /** In a trial of one build beside itself on a busy machine they differed by as much, or less. */
-    private static final double TIME_NOISE = 1.5, CPU_NOISE = 1.1, MEMORY_NOISE = 1.02;
-    /** Real backends: so many ports, each answering after so long. */
+    /** Ratios by which two groups of the same build can differ on a busy machine. */
+    private static final double MAX_LATENCY_NOISE = 1.5, MAX_CPU_NOISE = 1.1, MAX_MEMORY_NOISE = 1.02;
+    /** Ports of the backends, and their service time. */
     private static final int PORTS = 8;
     private static final long SERVICE_NS = 2_000_000;
-    /** What this program takes, for each entry of its lists and beside them. */
+    /** Heap of this program per entry of its lists, and apart from the lists. */
     private static final long ENTRY_BYTES = 1500, BASE_BYTES = 64L << 20;
-    private static final long MB = 1 << 20;
+    private static final long BYTES_PER_MB = 1 << 20;
 
     @Mixin
     private BaselineOption baseline;
 
     @Option(names = "--load-seconds", defaultValue = "10", paramLabel = "S",
-            description = "how long each side is under load in each repetition (${DEFAULT-VALUE})")
-    private int loadSeconds;
+            description = "seconds of load on each side in each repetition (${DEFAULT-VALUE})")
+    private int loadS;
 
     @Option(names = "--ready-seconds", defaultValue = "30", paramLabel = "S",
-            description = "a side that is not ready so long after its start is given up (${DEFAULT-VALUE})")
-    private int readySeconds;
+            description = "seconds after which a side that is not ready is left out (${DEFAULT-VALUE})")
+    private int readyTimeoutS;
 
-    private final List<Side> sides = new ArrayList<>();
-    private final AddedTime added = new AddedTime();
+    private final List<ProxyGroup> groups = new ArrayList<>();
+    private final AddedLatency addedLatency = new AddedLatency();
 
     @Override
     void check() {
-        options.entriesUnlessGiven(spec, SIZES);
-        options.proxiesUnlessGiven(spec, PROXIES);
-        Options.sizes(spec, "--load-seconds", List.of(loadSeconds));
-        Options.sizes(spec, "--ready-seconds", List.of(readySeconds));
+        options.setDefaultEntries(spec, SIZES);
+        options.setDefaultProxies(spec, PROXIES);
+        Options.checkSizes(spec, "--load-seconds", List.of(loadS));
+        Options.checkSizes(spec, "--ready-seconds", List.of(readyTimeoutS));
         if (options.proxies.size() != 1) {
-            throw new ParameterException(spec.commandLine(), "--proxies: one number here, of real proxies");
+            throw new ParameterException(spec.commandLine(),
+                    "--proxies: must be a single number of real proxies");
         }
         baseline.check(spec);
     }
 
     @Override
-    Need need() {
-        int processes = options.proxies.get(0) * options.entries.size() * (baseline.given() ? 2 : 1);
+    ResourceNeeds needs() {
+        int processes = options.proxies.get(0) * options.entries.size() * (baseline.isGiven() ? 2 : 1);
         long entries = options.entries.stream().mapToLong(Integer::longValue).sum();
-        return new Need(BASE_BYTES + entries * ENTRY_BYTES, processes, processes * Side.MEMORY_MB * MB);
+        return new ResourceNeeds(BASE_BYTES + entries * ENTRY_BYTES, processes,
+                processes * ProxyGroup.MEMORY_MB * BYTES_PER_MB);
     }
 
     @Override
     boolean measure(Run run) throws Exception {
-        Path folder = Files.createTempDirectory("scale-request");
-        EventLoopGroup serving = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-        EventLoopGroup asking = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+        Path directory = Files.createTempDirectory("scale-request");
+        EventLoopGroup backendLoops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+        EventLoopGroup clientLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
-        List<DiscoveryStandIn> lists = new ArrayList<>();
+        List<DiscoveryStandIn> discoveries = new ArrayList<>();
         try (Processes processes = new Processes();
-                SmallBackend backends = new SmallBackend(serving, timer, PORTS, SERVICE_NS)) {
+                BackendStandIn backends = new BackendStandIn(backendLoops, timer, PORTS, SERVICE_NS)) {
             List<InetSocketAddress> addresses = backends.addresses();
             for (int entries : options.entries) {
-                lists.add(new DiscoveryStandIn(new Fleet(entries, options.seed,
+                discoveries.add(new DiscoveryStandIn(new Fleet(entries, options.seed,
                         n -> "127.0.0.1:" + addresses.get(n % PORTS).getPort()).backends()));
             }
-            start(run, processes, lists, folder);
-            List<LoadedSide> turns = new ArrayList<>();
-            sides.forEach(s -> turns.add(new LoadedSide(s, new OpenLoop(asking.next(), s.addresses()))));
-            LoadedSide direct = new LoadedSide(null, new OpenLoop(asking.next(),
+            start(run, processes, discoveries, directory);
+            List<LoadedGroup> turns = new ArrayList<>();
+            groups.forEach(g -> turns.add(
+                    new LoadedGroup(g, new OpenLoop(clientLoops.next(), g.addresses()))));
+            LoadedGroup direct = new LoadedGroup(null, new OpenLoop(clientLoops.next(),
                     Collections.nCopies(options.proxies.get(0), addresses)));
-            boolean whole = load(run, direct, turns);
+            boolean isComplete = load(run, direct, turns);
             report(run.report());
-            return whole;
+            return isComplete;
         } finally {
-            for (DiscoveryStandIn d : lists) {
-                d.close();
+            for (DiscoveryStandIn discovery : discoveries) {
+                discovery.close();
             }
             timer.shutdownNow();
-            serving.shutdownGracefully(0, 0, TimeUnit.SECONDS);
-            asking.shutdownGracefully(0, 0, TimeUnit.SECONDS);
-            delete(folder);
+            backendLoops.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+            clientLoops.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+            delete(directory);
         }
     }
 
-    private static void delete(Path folder) throws IOException {
-        try (var files = Files.list(folder)) {
+    private static void delete(Path directory) throws IOException {
+        try (var files = Files.list(directory)) {
             for (Path file : files.toList()) {
                 Files.delete(file);
             }
         }
-        Files.delete(folder);
+        Files.delete(directory);
     }
 
-    /** Starts the sides one by one, so that none slows another's start; one that is not ready is left out. */
-    private void start(Run run, Processes processes, List<DiscoveryStandIn> lists, Path folder)
+    /** Starts the groups one by one to keep them from slowing each other; leaves out those not ready. */
+    private void start(Run run, Processes processes, List<DiscoveryStandIn> discoveries, Path directory)
             throws IOException, InterruptedException {
         Table starts = run.report().table("starts", "build", "entries", "proxies", "ready after s",
                 "calls to discovery", "MB sent", "CPU s", "highest MB");
         List<Build> builds = new ArrayList<>();
         baseline.build().ifPresent(builds::add);
         builds.add(Build.own());
-        for (int i = 0; i < lists.size(); i++) {
+        for (int i = 0; i < discoveries.size(); i++) {
             for (Build build : builds) {
-                DiscoveryStandIn list = lists.get(i);
-                DiscoveryStandIn.Counts before = list.counts();
-                Side side = new Side(processes, build.name(), Launch.of(build), list, options.entries.get(i),
-                        options.proxies.get(0), options.seed, folder);
-                boolean ready = side.awaitReady(Math.min(TimeUnit.SECONDS.toNanos(readySeconds),
-                        run.deadline().leftNs()));
-                DiscoveryStandIn.Counts counts = list.counts().since(before);
-                starts.row(build.name(), side.entries(), side.alive(), side.readyS(), counts.calls(),
-                        (double) counts.bytes() / MB, side.processorTime().toNanos() / 1e9,
-                        side.memoryMb(Side.MEMORY_HIGHEST));
-                if (ready) {
-                    sides.add(side);
+                DiscoveryStandIn discovery = discoveries.get(i);
+                DiscoveryStandIn.Counts before = discovery.counts();
+                ProxyGroup group = new ProxyGroup(processes, build.name(), Launch.of(build), discovery,
+                        options.entries.get(i), options.proxies.get(0), options.seed, directory);
+                boolean isReady = group.awaitReady(Math.min(TimeUnit.SECONDS.toNanos(readyTimeoutS),
+                        run.deadline().remainingNs()));
+                DiscoveryStandIn.Counts counts = discovery.counts().since(before);
+                starts.row(build.name(), group.entries(), group.runningCount(), group.readyS(),
+                        counts.calls(),
+                        (double) counts.bytes() / BYTES_PER_MB, group.processorTime().toNanos() / 1e9,
+                        group.memoryMb(ProxyGroup.MEMORY_PEAK));
+                if (isReady) {
+                    groups.add(group);
                 } else {
-                    side.end();
-                    run.report().remark(build.name() + " before " + side.entries()
-                            + " entries is NOT READY after " + readySeconds + " s: not under load");
+                    group.destroy();
+                    run.report().remark(build.name() + " before " + group.entries()
+                            + " entries is NOT READY after " + readyTimeoutS + " s: not under load");
                 }
-                run.progress().log(build.name() + " before " + side.entries() + " entries: "
-                        + (ready ? "ready" : "not ready"));
+                run.progress().log(build.name() + " before " + group.entries() + " entries: "
+                        + (isReady ? "ready" : "not ready"));
             }
         }
     }
 
-    /** The first repetition warms the sides and does not count. False if the time was out. */
-    private boolean load(Run run, LoadedSide direct, List<LoadedSide> sides)
+    /** Loads all groups; the first repetition is a warm-up. Returns false if the deadline passed. */
+    private boolean load(Run run, LoadedGroup direct, List<LoadedGroup> groups)
             throws IOException, InterruptedException, ExecutionException {
         Table table = run.report().table("under load, " + VirtualHost.REQUESTS_PER_SECOND
                 + " requests a second for each proxy", "repetition", "side", "entries", "sent", "not served",
                 "ms 50", "ms 99", "ms 99.9", "added 50", "added 99", "added 99.9", "CPU % each", "MB now",
                 "MB highest");
-        List<LoadedSide> turns = new ArrayList<>(sides);
+        List<LoadedGroup> turns = new ArrayList<>(groups);
         turns.add(direct);
         for (int i = 0; i <= options.repeat; i++) {
-            for (int s = 0; s < loadSeconds; s += SLICE_S) {
-                if (run.deadline().over()) {
+            for (int s = 0; s < loadS; s += SLICE_S) {
+                if (run.deadline().hasPassed()) {
                     return false;
                 }
-                for (LoadedSide side : turns) {
-                    side.load(TimeUnit.SECONDS.toNanos(Math.min(SLICE_S, loadSeconds - s)));
+                for (LoadedGroup group : turns) {
+                    group.load(TimeUnit.SECONDS.toNanos(Math.min(SLICE_S, loadS - s)));
                 }
-                Collections.reverse(turns); // what else the machine does meets all sides alike
+                Collections.reverse(turns); // other load on the machine affects all groups alike
             }
-            LoadedSide.Load reference = direct.take();
-            for (LoadedSide side : sides) {
-                LoadedSide.Load load = side.take();
+            LoadedGroup.LoadResult reference = direct.takeResult();
+            for (LoadedGroup group : groups) {
+                LoadedGroup.LoadResult load = group.takeResult();
                 if (i > 0) {
-                    added.add(side.side().build(), side.side().entries(), load.times(), reference.times(),
-                            load.cpuShare());
-                    row(table, i, side.side(), load, reference.times());
+                    addedLatency.add(group.group().build(), group.group().entries(), load.latencies(),
+                            reference.latencies(), load.cores());
+                    row(table, i, group.group(), load, reference.latencies());
                 }
             }
-            if (i > 0 && reference.times().ms(PERCENTILE) > SERVICE_NS / 1e6 + ADDED_MOST_MS) {
+            if (i > 0 && reference.latencies().percentileMs(PERCENTILE) > SERVICE_NS / 1e6 + MAX_ADDED_MS) {
                 run.report().remark("repetition " + i + ": the machine is too busy for the bound, since the "
-                        + "backends alone took " + reference.times().ms(PERCENTILE) + " ms for 99 in 100");
+                        + "99th percentile of the backends alone is "
+                        + reference.latencies().percentileMs(PERCENTILE) + " ms");
             }
             if (i > 0) {
-                Times t = reference.times();
-                table.row(i, "direct", null, reference.sent(), reference.notServed(), t.ms(50), t.ms(99),
-                        t.ms(99.9), null, null, null, null, null, null);
+                Latencies directLatencies = reference.latencies();
+                table.row(i, "direct", null, reference.sent(), reference.notServed(),
+                        directLatencies.percentileMs(50), directLatencies.percentileMs(99),
+                        directLatencies.percentileMs(99.9), null, null, null, null, null, null);
             }
             run.progress().log("repetition " + i + " of " + options.repeat);
         }
         return true;
     }
 
-    private void row(Table table, int repetition, Side side, LoadedSide.Load load, Times direct)
-            throws IOException {
-        Times t = load.times();
-        table.row(repetition, side.build(), side.entries(), load.sent(), load.notServed(), t.ms(50), t.ms(99),
-                t.ms(99.9), t.ms(50) - direct.ms(50), t.ms(99) - direct.ms(99), t.ms(99.9) - direct.ms(99.9),
-                load.cpuShare() * PERCENT / options.proxies.get(0), side.memoryMb(Side.MEMORY_NOW),
-                side.memoryMb(Side.MEMORY_HIGHEST));
+    private void row(Table table, int repetition, ProxyGroup group, LoadedGroup.LoadResult load,
+            Latencies direct) throws IOException {
+        Latencies proxied = load.latencies();
+        table.row(repetition, group.build(), group.entries(), load.sent(), load.notServed(),
+                proxied.percentileMs(50), proxied.percentileMs(99), proxied.percentileMs(99.9),
+                proxied.percentileMs(50) - direct.percentileMs(50),
+                proxied.percentileMs(99) - direct.percentileMs(99),
+                proxied.percentileMs(99.9) - direct.percentileMs(99.9),
+                load.cores() * PERCENT / options.proxies.get(0), group.memoryMb(ProxyGroup.MEMORY_NOW),
+                group.memoryMb(ProxyGroup.MEMORY_PEAK));
     }
 
     private void report(Report report) throws IOException {
         Table medians = report.table("added ms, median of the repetitions", "side", "entries", "50", "99",
                 "99.9");
-        sides.forEach(s -> medians.row(s.build(), s.entries(), added.ms(s.build(), s.entries(), 50),
-                added.ms(s.build(), s.entries(), 99), added.ms(s.build(), s.entries(), 99.9)));
+        groups.forEach(g -> medians.row(g.build(), g.entries(),
+                addedLatency.medianMs(g.build(), g.entries(), 50),
+                addedLatency.medianMs(g.build(), g.entries(), 99),
+                addedLatency.medianMs(g.build(), g.entries(), 99.9)));
         Verdicts verdicts = new Verdicts(report);
-        double small = added.ms(Build.OWN, SMALL, PERCENTILE);
-        double large = added.ms(Build.OWN, LARGE, PERCENTILE);
-        verdicts.add("added time at the 99th percentile, 68,000 to 200 entries", GROWTH_MOST,
-                AddedTime.ratio(large, small));
-        verdicts.add("added ms at the 99th percentile, 68,000 entries", ADDED_MOST_MS, large);
-        if (baseline.given()) {
-            verdicts.add("added time at the 99th percentile, 200 entries, this to baseline", TIME_NOISE,
-                    AddedTime.ratio(small, added.ms(Build.BASELINE, SMALL, PERCENTILE)));
-            verdicts.add("processor time, 200 entries, this to baseline", CPU_NOISE,
-                    added.cores(Build.OWN, SMALL) / added.cores(Build.BASELINE, SMALL));
-            verdicts.add("highest memory, 200 entries, this to baseline", MEMORY_NOISE,
-                    highestMb(Build.OWN) / highestMb(Build.BASELINE));
+        double small = addedLatency.medianMs(Build.OWN, SMALL_ENTRIES, PERCENTILE);
+        double large = addedLatency.medianMs(Build.OWN, LARGE_ENTRIES, PERCENTILE);
+        verdicts.add("added time at the 99th percentile, 68,000 to 200 entries", MAX_GROWTH,
+                AddedLatency.ratio(large, small));
+        verdicts.add("added ms at the 99th percentile, 68,000 entries", MAX_ADDED_MS, large);
+        if (baseline.isGiven()) {
+            verdicts.add("added time at the 99th percentile, 200 entries, this to baseline",
+                    MAX_LATENCY_NOISE,
+                    AddedLatency.ratio(small,
+                            addedLatency.medianMs(Build.BASELINE, SMALL_ENTRIES, PERCENTILE)));
+            verdicts.add("processor time, 200 entries, this to baseline", MAX_CPU_NOISE,
+                    addedLatency.cores(Build.OWN, SMALL_ENTRIES)
+                            / addedLatency.cores(Build.BASELINE, SMALL_ENTRIES));
+            verdicts.add("highest memory, 200 entries, this to baseline", MAX_MEMORY_NOISE,
+                    peakMb(Build.OWN) / peakMb(Build.BASELINE));
         }
     }
 
-    /** Of a build's proxies before the small list; NaN if there were none. */
-    private double highestMb(String build) throws IOException {
-        for (Side s : sides) {
-            if (s.build().equals(build) && s.entries() == SMALL) {
-                return s.memoryMb(Side.MEMORY_HIGHEST);
+    /** Returns the peak memory of a build's proxies with the small list; NaN if there were none. */
+    private double peakMb(String build) throws IOException {
+        for (ProxyGroup group : groups) {
+            if (group.build().equals(build) && group.entries() == SMALL_ENTRIES) {
+                return group.memoryMb(ProxyGroup.MEMORY_PEAK);
             }
         }
         return Double.NaN;
--- a/src/main/java/dewstage/scale/Sample.java
+++ b/src/main/java/dewstage/scale/Sample.java
@@ -1,30 +1,30 @@
 package dewstage.scale;
 
 /**
- * What one step at one size took, all hollow proxies together.
+ * The cost of one step at one size, summed over all hollow proxies.
  *
- * @param changed entries that it changed: those of the whole list where that was sent
- * @param counts of discovery's stand-in
+ * @param changed number of changed entries; all entries if the full list was sent
+ * @param counts counters of the discovery stand-in
  * @param cpuNs processor time of the proxies' threads
- * @param times from the sending until a proxy had all in force
- * @param missing proxies that had not when the wait was over
+ * @param latencies from the sending until a proxy had applied the version
+ * @param missing proxies that had not applied it when the wait ended
  */
 record Sample(String step, Point point, int round, long changed, DiscoveryStandIn.Counts counts, long cpuNs,
-        Times times, int missing) {
-    /** The same step once more: sums, and the times of both. */
-    Sample and(Sample more) {
-        Times all = new Times();
-        all.addAll(times);
-        all.addAll(more.times);
-        return new Sample(step, point, round, changed + more.changed, counts.plus(more.counts),
-                cpuNs + more.cpuNs, all, missing + more.missing);
+        Latencies latencies, int missing) {
+    /** Combines two samples of the same step: sums and all latencies. */
+    Sample combine(Sample other) {
+        Latencies combined = new Latencies();
+        combined.addAll(latencies);
+        combined.addAll(other.latencies);
+        return new Sample(step, point, round, changed + other.changed, counts.plus(other.counts),
+                cpuNs + other.cpuNs, combined, missing + other.missing);
     }
 
     double cpuMsPerProxy() {
         return cpuNs / 1e6 / point.proxies();
     }
 
-    boolean whole() {
+    boolean isComplete() {
         return missing == 0;
     }
 }
--- a/src/main/java/dewstage/scale/Samples.java
+++ b/src/main/java/dewstage/scale/Samples.java
@@ -13,7 +13,7 @@
 import java.util.function.ToIntFunction;
 import java.util.stream.Collectors;
 
-/** All samples of an experiment, in the order measured: as a table, as slopes, as ratios. */
+/** The samples of an experiment in the order of measurement; reports them as tables, slopes and means. */
 final class Samples {
     private static final Map<String, ToDoubleFunction<Sample>> FIGURES = new LinkedHashMap<>();
 
@@ -21,8 +21,8 @@
         FIGURES.put("calls", s -> s.counts().calls());
         FIGURES.put("bytes", s -> s.counts().bytes());
         FIGURES.put("cpu ms", s -> s.cpuNs() / 1e6);
-        FIGURES.put("median ms", s -> s.times().medianMs());
-        FIGURES.put("last ms", s -> s.times().lastMs());
+        FIGURES.put("median ms", s -> s.latencies().medianMs());
+        FIGURES.put("last ms", s -> s.latencies().maxMs());
     }
 
     private final List<Sample> all = new ArrayList<>();
@@ -39,7 +39,7 @@
         return all.stream().map(Sample::step).collect(Collectors.toCollection(LinkedHashSet::new));
     }
 
-    /** Adds a row for each sample to the report, then the slopes. */
+    /** Adds a table with a row for each sample to the report, then the slopes. */
     void report(Report report) {
         Table table = report.table(
                 "all proxies together; times from the sending until a proxy had all in force",
@@ -47,61 +47,61 @@
                 "cpu ms", "cpu ms/proxy", "median ms", "p99 ms", "last ms", "missing");
         for (Sample s : all) {
             table.row(s.step(), s.point().entries(), s.point().proxies(), s.round(), s.changed(),
-                    s.counts().calls(), s.counts().refused(), s.counts().wholes(), s.counts().bytes(),
-                    s.cpuNs() / 1e6, s.cpuMsPerProxy(), s.times().medianMs(), s.times().ms(99),
-                    s.times().lastMs(), s.missing());
+                    s.counts().calls(), s.counts().refused(), s.counts().fullLists(), s.counts().bytes(),
+                    s.cpuNs() / 1e6, s.cpuMsPerProxy(), s.latencies().medianMs(),
+                    s.latencies().percentileMs(99), s.latencies().maxMs(), s.missing());
         }
         slopes(report);
     }
 
-    /** Where one size alone differs, the growth with it; samples that miss a proxy are left out. */
+    /** Adds the slopes over samples that differ in one size only; excludes samples with missing proxies. */
     private void slopes(Report report) {
         Table table = report.table(
                 "slopes by least squares, all proxies together; samples with missing ones are left out",
                 "step", "of", "per", "from", "to", "points", "slope", "base", "R2");
         for (String step : steps()) {
-            List<Sample> samples = of(step).stream().filter(Sample::whole).toList();
-            Point small = corner(samples, false);
-            Point large = corner(samples, true);
-            along(table, step, "entry", samples, s -> s.point().proxies() == small.proxies()
-                    && s.point().changes() == small.changes(), s -> s.point().entries());
-            along(table, step, "change", samples, s -> s.point().proxies() == small.proxies()
-                    && s.point().entries() == large.entries(), Sample::changed);
-            along(table, step, "proxy", samples, s -> s.point().entries() == large.entries()
-                    && s.point().changes() == large.changes(), s -> s.point().proxies());
+            List<Sample> samples = of(step).stream().filter(Sample::isComplete).toList();
+            Point smallest = extremePoint(samples, false);
+            Point largest = extremePoint(samples, true);
+            addSlopes(table, step, "entry", samples, s -> s.point().proxies() == smallest.proxies()
+                    && s.point().changes() == smallest.changes(), s -> s.point().entries());
+            addSlopes(table, step, "change", samples, s -> s.point().proxies() == smallest.proxies()
+                    && s.point().entries() == largest.entries(), Sample::changed);
+            addSlopes(table, step, "proxy", samples, s -> s.point().entries() == largest.entries()
+                    && s.point().changes() == largest.changes(), s -> s.point().proxies());
         }
     }
 
-    private static Point corner(List<Sample> samples, boolean large) {
-        return new Point(edge(samples, Point::entries, large), edge(samples, Point::proxies, large),
-                edge(samples, Point::changes, large));
+    private static Point extremePoint(List<Sample> samples, boolean largest) {
+        return new Point(extreme(samples, Point::entries, largest), extreme(samples, Point::proxies, largest),
+                extreme(samples, Point::changes, largest));
     }
 
-    private static int edge(List<Sample> samples, ToIntFunction<Point> size, boolean large) {
+    private static int extreme(List<Sample> samples, ToIntFunction<Point> size, boolean largest) {
         IntSummaryStatistics sizes = samples.stream().map(Sample::point).mapToInt(size).summaryStatistics();
-        return large ? sizes.getMax() : sizes.getMin();
+        return largest ? sizes.getMax() : sizes.getMin();
     }
 
-    private static void along(Table table, String step, String per, List<Sample> samples,
+    private static void addSlopes(Table table, String step, String per, List<Sample> samples,
             Predicate<Sample> where, ToDoubleFunction<Sample> size) {
-        List<Sample> line = samples.stream().filter(where).toList();
-        TreeSet<Double> sizes = line.stream().map(s -> size.applyAsDouble(s))
+        List<Sample> matching = samples.stream().filter(where).toList();
+        TreeSet<Double> sizes = matching.stream().map(s -> size.applyAsDouble(s))
                 .collect(Collectors.toCollection(TreeSet::new));
         if (sizes.size() < 2) {
             return;
         }
         FIGURES.forEach((name, figure) -> {
-            Slope slope = Slope.of(line.stream()
+            Slope slope = Slope.of(matching.stream()
                     .map(s -> new double[] {size.applyAsDouble(s), figure.applyAsDouble(s)})
                     .toArray(double[][]::new));
-            table.row(step, name, per, sizes.first().longValue(), sizes.last().longValue(), line.size(),
+            table.row(step, name, per, sizes.first().longValue(), sizes.last().longValue(), matching.size(),
                     slope.perUnit(), slope.base(), slope.fit());
         });
     }
 
-    /** Mean of a figure over the samples of a step that lack no proxy; NaN if there are none. */
+    /** Returns the mean of a figure over the complete samples of a step; NaN if there are none. */
     double mean(String step, Predicate<Point> where, ToDoubleFunction<Sample> figure) {
-        return of(step).stream().filter(s -> s.whole() && where.test(s.point())).mapToDouble(figure).average()
-                .orElse(Double.NaN);
+        return of(step).stream().filter(s -> s.isComplete() && where.test(s.point())).mapToDouble(figure)
+                .average().orElse(Double.NaN);
     }
 }
--- a/src/main/java/dewstage/scale/Scale.java
+++ b/src/main/java/dewstage/scale/Scale.java
@@ -5,12 +5,12 @@
 import picocli.CommandLine.Command;
 
 /**
- * The command line of the scale tests: each subcommand is one experiment. Nothing that serves uses this
- * package.
+ * The command line of the scale tests: each subcommand is one experiment. A proxy in service does not use
+ * this package.
  */
 @Command(name = "scale", mixinStandardHelpOptions = true, scope = CommandLine.ScopeType.INHERIT,
         synopsisSubcommandLabel = "EXPERIMENT",
-        description = "Measures how the cost of a proxy grows with the fleet. One experiment at a time:",
+        description = "Measures how the cost of a proxy grows with the fleet. Run one experiment at a time:",
         subcommands = {StartExperiment.class, ChangesExperiment.class, RackExperiment.class,
             ZoneExperiment.class, HerdExperiment.class, RegionExperiment.class, ModuleExperiment.class,
             RequestExperiment.class, RealExperiment.class})
@@ -23,8 +23,8 @@
     /**
      * Runs the experiment that the arguments name.
      *
-     * @return the exit code: 0 if all of it was run, 1 if something failed or its time was out before, 2 for
-     *     a wrong argument or a size that the machine does not bear
+     * @return the exit code: 0 if it completed, 1 if it failed or ran out of time, 2 for an invalid argument
+     *     or a size that exceeds the limits of the machine
      */
     public static int run(String[] args) {
         return run(new PrintWriter(System.out, true), new PrintWriter(System.err, true), args);
@@ -32,7 +32,7 @@
 
     static int run(PrintWriter out, PrintWriter err, String... args) {
         return new CommandLine(new Scale()).setOut(out).setErr(err)
-                .setParameterExceptionHandler((e, given) -> {
+                .setParameterExceptionHandler((e, arguments) -> {
                     e.getCommandLine().getErr().println(e.getMessage());
                     e.getCommandLine().usage(e.getCommandLine().getErr());
                     return CommandLine.ExitCode.USAGE;
@@ -45,6 +45,6 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "an experiment must be named");
+        throw new CommandLine.ParameterException(spec.commandLine(), "no experiment given");
     }
 }
--- a/src/main/java/dewstage/scale/SendCounts.java
+++ b/src/main/java/dewstage/scale/SendCounts.java
@@ -12,67 +12,68 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * What the servers that have started lately got from all hollow proxies together, send by send, and how much
- * the others got.
+ * Records the sends of all hollow proxies: the time of each send to a recently started server, and the number
+ * of sends to the others.
  */
 final class SendCounts {
-    private final Map<EventLoop, Part> parts = new ConcurrentHashMap<>();
+    private final Map<EventLoop, LoopCounts> countsByLoop = new ConcurrentHashMap<>();
 
-    /** What the proxies of one thread have sent. */
-    static final class Part {
-        /** When, by server that has started, on the clock of System.nanoTime. */
-        private final Map<Integer, List<Long>> cold = new HashMap<>();
-        private long warm;
+    /** The sends of the proxies on one event loop. */
+    static final class LoopCounts {
+        /** Times of the sends by recently started server, on the clock of System.nanoTime. */
+        private final Map<Integer, List<Long>> coldSends = new HashMap<>();
+        private long warmSends;
 
-        /** Proxies have heard of these servers; those with no time of a start are not counted one by one. */
+        /** Registers the members that have a start time; sends to the others are only counted. */
         void listReceived(List<Member> members) {
             members.stream().filter(m -> m.bootNs() > 0)
-                    .forEach(m -> cold.computeIfAbsent(m.id(), id -> new ArrayList<>()));
+                    .forEach(m -> coldSends.computeIfAbsent(m.id(), id -> new ArrayList<>()));
         }
 
-        void add(int server, long now) {
-            List<Long> times = cold.get(server);
+        void add(int server, long nowNs) {
+            List<Long> times = coldSends.get(server);
             if (times != null) {
-                times.add(now);
+                times.add(nowNs);
             } else {
-                warm++;
+                warmSends++;
             }
         }
     }
 
-    Part of(EventLoop loop) {
-        return parts.computeIfAbsent(loop, l -> new Part());
+    LoopCounts of(EventLoop loop) {
+        return countsByLoop.computeIfAbsent(loop, l -> new LoopCounts());
     }
 
-    /** For each server that has started, when it got its sends, in order. To be read once all is over. */
-    List<long[]> cold() {
+    /** Returns the sorted send times of each recently started server; call after counting has stopped. */
+    List<long[]> coldSends() {
         Set<Integer> ids = new TreeSet<>();
-        parts.values().forEach(p -> ids.addAll(p.cold.keySet()));
-        List<long[]> all = new ArrayList<>();
+        countsByLoop.values().forEach(counts -> ids.addAll(counts.coldSends.keySet()));
+        List<long[]> timesByServer = new ArrayList<>();
         for (int id : ids) {
-            long[] times = parts.values().stream().flatMap(p -> p.cold.getOrDefault(id, List.of()).stream())
+            long[] times = countsByLoop.values().stream()
+                    .flatMap(counts -> counts.coldSends.getOrDefault(id, List.of()).stream())
                     .mapToLong(Long::longValue).toArray();
             Arrays.sort(times);
-            all.add(times);
+            timesByServer.add(times);
         }
-        return all;
+        return timesByServer;
     }
 
-    /** How many sends went to servers that have not started lately. */
-    long warm() {
-        return parts.values().stream().mapToLong(p -> p.warm).sum();
+    /** Returns the number of sends to servers that have not started recently. */
+    long warmSends() {
+        return countsByLoop.values().stream().mapToLong(counts -> counts.warmSends).sum();
     }
 
-    /** The most of some times, in order, that lie within any span of that length. */
-    static int most(long[] times, long spanNs) {
-        int most = 0;
+    /** Returns the maximum number of sorted times within any span of the given length. */
+    static int maxWithin(long[] times, long spanNs) {
+        int maxCount = 0;
         int first = 0;
         for (int i = 0; i < times.length; i++) {
             while (times[i] - times[first] > spanNs) {
                 first++;
             }
-            most = Math.max(most, i - first + 1);
+            maxCount = Math.max(maxCount, i - first + 1);
         }
-        return most;
+        return maxCount;
     }
 }
