--- a/src/main/java/dewstage/scale/Slope.java
+++ b/src/main/java/dewstage/scale/Slope.java
@@ -3,14 +3,14 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * A straight line through measured points by least squares.
+ * A straight line fitted to measured points by least squares.
  *
- * @param perUnit the growth of y for each x
- * @param base y where x is 0
- * @param fit R squared: 1 if the points lie on the line
+ * @param perUnit increase of y per unit of x
+ * @param base y at x = 0
+ * @param fit R squared: 1 if all points lie on the line
  */
 record Slope(double perUnit, double base, double fit) {
-    /** For points x, y; values are NaN with fewer than two different x. */
+    /** Fits a line to points {x, y}; its values are NaN for fewer than two distinct x. */
     static Slope of(double[][] points) {
         SimpleRegression line = new SimpleRegression();
         line.addData(points);
--- a/src/main/java/dewstage/scale/Table.java
+++ b/src/main/java/dewstage/scale/Table.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Rows under named columns. A value is a text, a whole number, a decimal one or a truth. */
+/** Rows with named columns. A value is a string, an integer, a decimal number or a boolean. */
 final class Table {
-    private static final double LARGE = 100, MIDDLE = 1;
+    private static final double NO_DECIMALS_FROM = 100, TWO_DECIMALS_FROM = 1;
 
     final String title;
     final List<String> columns;
@@ -25,7 +25,7 @@
         return this;
     }
 
-    /** As it is printed: columns right-aligned, each as wide as its widest value. */
+    /** Returns the table as text, with right-aligned columns as wide as their widest values. */
     String text() {
         StringBuilder text = new StringBuilder("\n" + title + '\n');
         List<List<String>> lines = new ArrayList<>();
@@ -33,7 +33,7 @@
         for (Object[] row : rows) {
             List<String> line = new ArrayList<>();
             for (Object value : row) {
-                line.add(text(value));
+                line.add(formatValue(value));
             }
             lines.add(line);
         }
@@ -48,13 +48,14 @@
         return text.toString();
     }
 
-    private static String text(Object value) {
+    private static String formatValue(Object value) {
         if (value == null || value instanceof Double d && !Double.isFinite(d)) {
             return "-";
         }
         if (value instanceof Double d) {
-            double size = Math.abs(d);
-            return String.format(Locale.ROOT, size >= LARGE ? "%.0f" : size >= MIDDLE ? "%.2f" : "%.4g", d);
+            double magnitude = Math.abs(d);
+            return String.format(Locale.ROOT, magnitude >= NO_DECIMALS_FROM ? "%.0f"
+                    : magnitude >= TWO_DECIMALS_FROM ? "%.2f" : "%.4g", d);
         }
         return value.toString();
     }
--- a/src/main/java/dewstage/scale/Verdicts.java
+++ b/src/main/java/dewstage/scale/Verdicts.java
@@ -1,6 +1,6 @@
 package dewstage.scale;
 
-/** What must hold, beside what was measured: the last table of a report. */
+/** The last table of a report: bounds and the measured values. */
 final class Verdicts {
     private final Table table;
 
@@ -8,9 +8,9 @@
         table = report.table("what must hold", "what", "at most", "measured", "holds");
     }
 
-    /** A ratio or a figure and its bound; one that was not measured is said to be so. */
-    void add(String what, double most, double measured) {
-        table.row(what, most, measured, Double.isNaN(measured) ? "not measured"
-                : measured <= most ? "yes" : "NO");
+    /** Adds a value and its upper bound; NaN is reported as not measured. */
+    void add(String name, double max, double measured) {
+        table.row(name, max, measured, Double.isNaN(measured) ? "not measured"
+                : measured <= max ? "yes" : "NO");
     }
 }
--- a/src/main/java/dewstage/scale/VirtualHost.java
+++ b/src/main/java/dewstage/scale/VirtualHost.java
@@ -20,46 +20,48 @@
 import java.util.function.LongSupplier;
 
 /**
- * A proxy's side of one module, with neither sockets nor waiting: requests arrive at the pace of service on a
- * clock that is only counted, backends answer by rule, timers come as the module asked for them. What the
- * calls of the module cost is read from a stopwatch; all else here stands outside of it.
+ * Runs one module on a virtual clock, without sockets or waiting: requests arrive at the rate of a proxy in
+ * service, synthetic backends respond by a rule and timers fire as the module requested. A stopwatch measures
+ * the calls of the module and nothing else.
  */
 final class VirtualHost implements Balancer.Actions {
     /** A proxy's share of the target's 1.3 million requests a second. */
     static final int REQUESTS_PER_SECOND = 245;
-    private static final long SECOND_NS = 1_000_000_000, GAP_NS = SECOND_NS / REQUESTS_PER_SECOND;
-    /** What answers take, by how they end: the work, a refusal's way there and back. */
+    private static final long SECOND_NS = 1_000_000_000,
+            REQUEST_INTERVAL_NS = SECOND_NS / REQUESTS_PER_SECOND;
+    /** Mean response time of a served attempt, and mean network round trip of a failed one. */
     private static final long SERVED_NS = 20_000_000, FAILED_NS = 2_000_000;
-    /** Any time but 0, which stands for long ago. */
+    /** Start of the virtual clock; any time but 0, which means long ago. */
     private static final long START_NS = 1_000_000_000_000L;
-    /** Of ten requests one is keyed and one unsafe to repeat, the rest safe. */
-    private static final int MIX = 10, KEYED = 1, ONCE = 2;
+    /** Of ten requests one is keyed and one is unsafe to repeat; the others are safe. */
+    private static final int MIX_PERIOD = 10, KEYED_PROFILE = 1, UNSAFE_PROFILE = 2;
 
-    /** What the module is called for. */
+    /** The kinds of calls whose cost is measured. */
     enum Call { REQUEST, OUTCOME, TIMER, MEMBERS }
 
-    /** Something that is to happen; of one time, in the order it was made. */
-    private record Due(long at, long order, Runnable event) { }
+    /** An event to run at a time; events of the same time run in the order of their sequence numbers. */
+    private record ScheduledEvent(long atNs, long sequence, Runnable action) { }
 
     private final Settings settings;
     private final LongSupplier stopwatch;
     private final SplittableRandom random;
     private final Balancer module;
-    private final PriorityQueue<Due> due =
-            new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
-    private final Map<Call, Long> spent = new EnumMap<>(Call.class);
-    private final Map<Call, Long> calls = new EnumMap<>(Call.class);
-    private final Map<Integer, Integer> attempts = new HashMap<>();
-    private final Map<Integer, Integer> inFlight = new HashMap<>();
-    private final Set<Integer> used = new HashSet<>();
-    private Answers answers = Answers.SERVED;
+    private final PriorityQueue<ScheduledEvent> scheduledEvents =
+            new PriorityQueue<>(Comparator.comparingLong(ScheduledEvent::atNs)
+                    .thenComparingLong(ScheduledEvent::sequence));
+    private final Map<Call, Long> costsNs = new EnumMap<>(Call.class);
+    private final Map<Call, Long> callCounts = new EnumMap<>(Call.class);
+    private final Map<Integer, Integer> attemptsByTicket = new HashMap<>();
+    private final Map<Integer, Integer> inFlightByServer = new HashMap<>();
+    private final Set<Integer> usedServers = new HashSet<>();
+    private ResponseRule responseRule = ResponseRule.SERVED;
     private long now = START_NS;
-    private long order;
-    private long sends;
+    private long nextSequence;
+    private long sendCount;
     private long digest;
-    private int tickets;
+    private int lastTicket;
     private int served;
-    private int ended;
+    private int rejected;
 
     VirtualHost(Balancer.Factory factory, Settings settings, long seed, LongSupplier stopwatch) {
         this.settings = settings;
@@ -72,155 +74,156 @@
         return now;
     }
 
-    /** From now on backends answer so. */
-    void answers(Answers rule) {
-        answers = rule;
+    /** Sets the rule for the responses to later attempts. */
+    void respondBy(ResponseRule rule) {
+        responseRule = rule;
     }
 
-    void members(ListKind kind, List<Member> members) {
-        timed(Call.MEMBERS, () -> module.onMembers(now, kind, 1, members));
+    void applyMembers(ListKind kind, List<Member> members) {
+        measure(Call.MEMBERS, () -> module.onMembers(now, kind, 1, members));
     }
 
-    /** Lets so many requests arrive; meanwhile, and before each, falls due what is. */
-    void requests(int count) {
+    /** Delivers the given number of requests, each after all events that are due before it. */
+    void runRequests(int count) {
         for (int i = 0; i < count; i++) {
-            long at = now + GAP_NS;
-            while (!due.isEmpty() && due.peek().at() <= at) {
-                Due next = due.poll();
-                now = next.at();
-                next.event().run();
+            long arrivalNs = now + REQUEST_INTERVAL_NS;
+            while (!scheduledEvents.isEmpty() && scheduledEvents.peek().atNs() <= arrivalNs) {
+                ScheduledEvent next = scheduledEvents.poll();
+                now = next.atNs();
+                next.action().run();
             }
-            now = at;
-            arrive();
+            now = arrivalNs;
+            deliverRequest();
         }
     }
 
-    private void arrive() {
-        int ticket = ++tickets;
-        int profile = ticket % MIX == KEYED ? KEYED : ticket % MIX == ONCE ? ONCE : 0;
+    private void deliverRequest() {
+        int ticket = ++lastTicket;
+        int profile = ticket % MIX_PERIOD == KEYED_PROFILE ? KEYED_PROFILE
+                : ticket % MIX_PERIOD == UNSAFE_PROFILE ? UNSAFE_PROFILE : 0;
         Request request = new Request(ticket, profile, 0, 0, settings.profiles().get(profile).giveUpNs(), 0,
                 false);
-        attempts.put(ticket, 0);
-        timed(Call.REQUEST, () -> module.onRequest(now, request));
+        attemptsByTicket.put(ticket, 0);
+        measure(Call.REQUEST, () -> module.onRequest(now, request));
     }
 
-    private void timed(Call call, Runnable work) {
-        long from = stopwatch.getAsLong();
+    private void measure(Call call, Runnable work) {
+        long startNs = stopwatch.getAsLong();
         work.run();
-        long took = stopwatch.getAsLong() - from;
-        spent.merge(call, took, Long::sum);
-        calls.merge(call, 1L, Long::sum);
+        long tookNs = stopwatch.getAsLong() - startNs;
+        costsNs.merge(call, tookNs, Long::sum);
+        callCounts.merge(call, 1L, Long::sum);
     }
 
-    /** What calls of a kind have cost since this was last asked, all together. */
-    long spent(Call call) {
-        Long sum = spent.remove(call);
-        calls.remove(call);
+    /** Returns and resets the total cost of the calls of one kind. */
+    long takeCostNs(Call call) {
+        Long sum = costsNs.remove(call);
+        callCounts.remove(call);
         return sum == null ? 0 : sum;
     }
 
-    /** What a call of a kind has cost since this was last asked, in the mean; 0 if there was none. */
-    double mean(Call call) {
-        long count = calls.getOrDefault(call, 0L);
-        return count == 0 ? 0 : (double) spent(call) / count;
+    /** Returns the mean cost of the calls of one kind and resets it; 0 if there was none. */
+    double takeMeanCostNs(Call call) {
+        long count = callCounts.getOrDefault(call, 0L);
+        return count == 0 ? 0 : (double) takeCostNs(call) / count;
     }
 
-    void forgetCosts() {
-        spent.clear();
-        calls.clear();
+    void resetCosts() {
+        costsNs.clear();
+        callCounts.clear();
     }
 
-    /** Requests that were served so far, and those that the module refused or failed. */
+    /** Returns the number of requests served so far. */
     int served() {
         return served;
     }
 
-    int ended() {
-        return ended;
+    /** Returns the number of requests that the module refused or failed so far. */
+    int rejected() {
+        return rejected;
     }
 
-    /** Servers that got an attempt so far. */
-    int used() {
-        return used.size();
+    /** Returns the number of servers that received an attempt so far. */
+    int usedServerCount() {
+        return usedServers.size();
     }
 
-    /** All sends and endings in their order, as one number: the same where the module has done the same. */
+    /** Returns a hash of the module's actions in order: equal if the module made the same decisions. */
     long digest() {
         return digest;
     }
 
-    private void note(int what, int ticket) {
-        digest = (digest * 31 + what) * 31 + ticket;
+    private void addToDigest(int action, int ticket) {
+        digest = (digest * 31 + action) * 31 + ticket;
     }
 
-    private void at(long time, Runnable event) {
-        due.add(new Due(Math.max(now, time), order++, event));
+    private void schedule(long atNs, Runnable action) {
+        scheduledEvents.add(new ScheduledEvent(Math.max(now, atNs), nextSequence++, action));
     }
 
-    // ---- actions ----
-
     @Override
     public void send(int ticket, int server, long timeoutNs) {
-        note(server, ticket);
-        used.add(server);
-        int number = attempts.merge(ticket, 1, Integer::sum) - 1;
-        inFlight.merge(server, 1, Integer::sum);
-        Status status = answers.of(server, ++sends);
-        long takes = (long) ((status == Status.OK ? SERVED_NS : FAILED_NS) * (0.5 + random.nextDouble()));
-        long sentAt = now;
-        at(now + takes, () -> outcome(ticket, number, server, status, now - sentAt));
-    }
-
-    private void outcome(int ticket, int number, int server, Status status, long elapsed) {
-        boolean over = status == Status.OK || !attempts.containsKey(ticket);
-        if (status == Status.OK && attempts.remove(ticket) != null) { served++; }
-        int held = inFlight.merge(server, -1, Integer::sum);
-        // What others have there, and how busy it is, moves a little from one answer to the next.
-        Report report = new Report(held + random.nextInt(2), 0, 0.2 + 0.4 * random.nextDouble(), Double.NaN,
-                Double.NaN, Double.NaN);
-        Outcome o = new Outcome(ticket, number, server, status, elapsed, over,
+        addToDigest(server, ticket);
+        usedServers.add(server);
+        int attempt = attemptsByTicket.merge(ticket, 1, Integer::sum) - 1;
+        inFlightByServer.merge(server, 1, Integer::sum);
+        Status status = responseRule.statusOf(server, ++sendCount);
+        long durationNs = (long) ((status == Status.OK ? SERVED_NS : FAILED_NS)
+                * (0.5 + random.nextDouble()));
+        long sentAtNs = now;
+        schedule(now + durationNs, () -> deliverOutcome(ticket, attempt, server, status, now - sentAtNs));
+    }
+
+    private void deliverOutcome(int ticket, int attempt, int server, Status status, long elapsedNs) {
+        boolean isFinished = status == Status.OK || !attemptsByTicket.containsKey(ticket);
+        if (status == Status.OK && attemptsByTicket.remove(ticket) != null) { served++; }
+        int serverInFlight = inFlightByServer.merge(server, -1, Integer::sum);
+        // The load from other proxies and the utilization vary a little between responses.
+        Report report = new Report(serverInFlight + random.nextInt(2), 0, 0.2 + 0.4 * random.nextDouble(),
+                Double.NaN, Double.NaN, Double.NaN);
+        Outcome outcome = new Outcome(ticket, attempt, server, status, elapsedNs, isFinished,
                 status == Status.CONNECT_FAILED ? null : report);
-        timed(Call.OUTCOME, () -> module.onOutcome(now, o));
+        measure(Call.OUTCOME, () -> module.onOutcome(now, outcome));
     }
 
     @Override
     public void refuse(int ticket, long retryInNs) {
-        end(ticket);
+        reject(ticket);
     }
 
     @Override
     public void fail(int ticket) {
-        end(ticket);
+        reject(ticket);
     }
 
-    private void end(int ticket) {
-        note(-1, ticket);
-        if (attempts.remove(ticket) != null) { ended++; }
+    private void reject(int ticket) {
+        addToDigest(-1, ticket);
+        if (attemptsByTicket.remove(ticket) != null) { rejected++; }
     }
 
     @Override
     public void cancel(int ticket, int attempt) {
-        note(-2, ticket); // it comes too late: the backend's answer is on its way
+        addToDigest(-2, ticket); // too late to have an effect: the response is already scheduled
     }
 
     @Override
     public void timer(long at, long token) {
-        at(at, () -> timed(Call.TIMER, () -> module.onTimer(now, token)));
+        schedule(at, () -> measure(Call.TIMER, () -> module.onTimer(now, token)));
     }
 
     @Override
     public void probe(int server) {
-        throw new UnsupportedOperationException("no probes here");
+        throw new UnsupportedOperationException("probes are not supported");
     }
 
     @Override
     public void closeIdle(int server) {
-        note(-3, server);
+        addToDigest(-3, server);
     }
 
     @Override
     public void tell(int peer, byte[] message) {
-        throw new UnsupportedOperationException("no peers here");
+        throw new UnsupportedOperationException("peer messages are not supported");
     }
 
     @Override
@@ -230,11 +233,11 @@
 
     @Override
     public void subscribe(boolean on) {
-        note(-4, on ? 1 : 0);
+        addToDigest(-4, on ? 1 : 0);
     }
 
     @Override
     public void reload() {
-        note(-5, 0);
+        addToDigest(-5, 0);
     }
 }
--- a/src/main/java/dewstage/scale/ZoneExperiment.java
+++ b/src/main/java/dewstage/scale/ZoneExperiment.java
@@ -4,19 +4,19 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** A zone, 1 in 18 of the list, goes and is back cold. */
+/** Measures the failure of a zone, 1/18 of the list, and its cold restart. */
 @Command(name = "zone",
-        description = "1 backend in 18 goes at once and is back, cold; what the cold ones get")
+        description = "1 backend in 18 fails at once and restarts cold; load on the cold ones")
 final class ZoneExperiment extends FleetExperiment {
-    /** What is out for less is not taken for gone by the proxies' memory of their rates. */
-    private static final double OUT_S = 3;
+    /** Duration of the outage; a shorter one would fall within the proxies' memory of their rates. */
+    private static final double OUTAGE_S = 3;
 
     @Mixin
     ColdOptions cold;
 
     @Override
     List<Integer> changes() {
-        return List.of(1); // how many change follows from the list
+        return List.of(1); // the number of changes follows from the list
     }
 
     @Override
@@ -26,35 +26,36 @@
     }
 
     @Override
-    Need need() {
-        return cold.need(super.need());
+    ResourceNeeds needs() {
+        return cold.needs(super.needs());
     }
 
     @Override
     void measure(Run run, Point point, int round, Samples samples) throws Exception {
-        try (Stage stage = new Stage(run, point, round, options.seed)) {
-            stage.start("start");
-            List<Backend> gone = stage.fleet.loseZone();
-            samples.add(stage.publish("zone gone", gone));
-            samples.add(stage.publish("zone back", stage.fleet.back(gone, System.currentTimeMillis())));
+        try (TestBed testBed = new TestBed(run, point, round, options.seed)) {
+            testBed.start("start");
+            List<Backend> failed = testBed.fleet.failZone();
+            samples.add(testBed.publish("zone gone", failed));
+            samples.add(testBed.publish("zone back",
+                    testBed.fleet.restart(failed, System.currentTimeMillis())));
         }
     }
 
     @Override
     void conclude(Run run, Samples samples) throws Exception {
-        new ColdSums(run, cold, options).measure("zone back", new ColdSums.Event() {
-            private List<Backend> gone;
+        new ColdBackendLoad(run, cold, options).measure("zone back", new ColdBackendLoad.Event() {
+            private List<Backend> failed;
 
             @Override
-            public void before(Stage stage) throws Exception {
-                gone = stage.fleet.loseZone();
-                stage.publish("zone gone", gone);
-                stage.pass(OUT_S);
+            public void prepare(TestBed testBed) throws Exception {
+                failed = testBed.fleet.failZone();
+                testBed.publish("zone gone", failed);
+                testBed.pause(OUTAGE_S);
             }
 
             @Override
-            public void starts(Stage stage) throws Exception {
-                stage.publish("zone back", stage.fleet.back(gone, System.currentTimeMillis()));
+            public void startBackends(TestBed testBed) throws Exception {
+                testBed.publish("zone back", testBed.fleet.restart(failed, System.currentTimeMillis()));
             }
         });
     }
--- a/src/test/java/dewstage/scale/DiscoveryStandInTest.java
+++ b/src/test/java/dewstage/scale/DiscoveryStandInTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The stand-in says what the protocol has discovery say, and holds the list once. */
+/** The stand-in follows the protocol of discovery and holds one copy of the list. */
 @Timeout(60)
 class DiscoveryStandInTest {
     private static final String PATH = "/catalog/members", WATCH = PATH + "?stream=1";
@@ -40,7 +40,7 @@
         return new HttpCall(discovery.address(), path);
     }
 
-    private HttpCall begun(String path) throws IOException {
+    private HttpCall openCall(String path) throws IOException {
         HttpCall call = call(path);
         assertEquals("HTTP/1.1 200 OK", call.status());
         return call;
@@ -50,17 +50,17 @@
         return new ObjectMapper().readTree(line);
     }
 
-    private static void assertList(String line, long generation, boolean whole, int entries)
+    private static void assertList(String line, long generation, boolean isFull, int entries)
             throws IOException {
         JsonNode list = json(line);
         assertEquals(generation, list.path("generation").asLong());
-        assertEquals(whole, list.path("reset").asBoolean());
+        assertEquals(isFull, list.path("reset").asBoolean());
         assertEquals(entries, list.path("instances").size());
     }
 
     @Test
-    void theWholeListComesOnceAndEnds() throws Exception {
-        try (HttpCall call = begun(PATH)) {
+    void aCallReceivesTheFullListAndTheResponseEnds() throws Exception {
+        try (HttpCall call = openCall(PATH)) {
             String line = call.line();
             assertList(line, 1, true, 1000);
             JsonNode entry = json(line).at("/instances/0");
@@ -73,96 +73,97 @@
     }
 
     @Test
-    void aWatchHearsTheWholeListThenChangesThenBeats() throws Exception {
-        try (HttpCall watch = begun(WATCH)) {
+    void aWatchReceivesTheFullListThenChangesThenHeartbeats() throws Exception {
+        try (HttpCall watch = openCall(WATCH)) {
             assertList(watch.line(), 1, true, 1000);
             assertEquals(2, discovery.publish(fleet.replace(3, 5)));
             assertList(watch.line(), 2, false, 6);
             assertEquals("\n", watch.chunk());
-            assertEquals(1, discovery.watches());
+            assertEquals(1, discovery.watchCount());
         }
     }
 
     @Test
-    void anIndexBringsWhatChangedSinceOrElseTheWholeList() throws Exception {
-        discovery.publish(fleet.reweigh(10));
-        discovery.publish(fleet.reweigh(20));
-        try (HttpCall known = begun(WATCH + "&index=1"); HttpCall current = begun(WATCH + "&index=3");
-                HttpCall unknown = begun(WATCH + "&index=77")) {
+    void anIndexYieldsTheChangesSinceItOrTheFullListIfUnknown() throws Exception {
+        discovery.publish(fleet.changeWeights(10));
+        discovery.publish(fleet.changeWeights(20));
+        try (HttpCall known = openCall(WATCH + "&index=1"); HttpCall current = openCall(WATCH + "&index=3");
+                HttpCall unknown = openCall(WATCH + "&index=77")) {
             JsonNode merged = json(known.line());
             assertEquals(3, merged.path("generation").asLong());
             assertTrue(merged.path("instances").size() >= 20 && merged.path("instances").size() <= 30);
             assertList(current.line(), 3, false, 0);
             assertList(unknown.line(), 3, true, 1000);
         }
-        discovery.repeatWhole();
-        try (HttpCall behind = begun(WATCH + "&index=3")) {
+        discovery.resendFullList();
+        try (HttpCall behind = openCall(WATCH + "&index=3")) {
             assertList(behind.line(), 4, true, 1000);
         }
     }
 
     @Test
-    void oneThatIsBusyAnswers503AndWatchesGoOn() throws Exception {
-        try (HttpCall watch = begun(WATCH)) {
+    void refusedCallsAreAnswered503WhileWatchesContinue() throws Exception {
+        try (HttpCall watch = openCall(WATCH)) {
             watch.line();
             discovery.refuseCalls(true);
             try (HttpCall late = call(WATCH)) {
                 assertEquals("HTTP/1.1 503 Service Unavailable", late.status());
             }
-            discovery.publish(fleet.reweigh(1));
+            discovery.publish(fleet.changeWeights(1));
             assertList(watch.line(), 2, false, 1);
             assertEquals(1, discovery.counts().refused());
         }
     }
 
     @Test
-    void oneThatIsDownEndsItsWatchesAndRefusesConnections() throws Exception {
-        try (HttpCall watch = begun(WATCH)) {
+    void aStoppedServiceEndsItsWatchesAndRefusesConnections() throws Exception {
+        try (HttpCall watch = openCall(WATCH)) {
             watch.line();
-            discovery.down();
+            discovery.stop();
             assertNull(watch.chunk());
             assertThrows(ConnectException.class, () -> call(WATCH));
-            discovery.up();
-            try (HttpCall again = begun(WATCH + "&index=1")) {
+            discovery.restart();
+            try (HttpCall again = openCall(WATCH + "&index=1")) {
                 assertList(again.line(), 1, false, 0);
             }
         }
     }
 
     @Test
-    void oneThatIsCutOffSaysNothingAndResetsLaterCalls() throws Exception {
-        try (HttpCall watch = begun(WATCH)) {
+    void anUnresponsiveServiceSendsNothingAndResetsLaterCalls() throws Exception {
+        try (HttpCall watch = openCall(WATCH)) {
             watch.line();
-            discovery.silence();
-            discovery.publish(fleet.reweigh(1));
+            discovery.stopResponding();
+            discovery.publish(fleet.changeWeights(1));
             try (HttpCall late = call(WATCH)) {
-                assertTrue(watch.silentFor(2500), "longer than a beat");
-                assertTrue(late.silentFor(1));
-                discovery.speak();
+                assertTrue(watch.isSilentFor(2500), "longer than the heartbeat interval");
+                assertTrue(late.isSilentFor(1));
+                discovery.resumeResponding();
                 assertThrows(SocketException.class, late::status);
             }
             assertList(watch.line(), 2, false, 1);
         }
     }
 
-    /** None of them reads on: what is pending for each is bounded, and the list is held once. */
+    /** No client reads: the pending bytes of each are bounded and the list is held once. */
     @Test
-    void hundredsOfWatchesShareOneList() throws Exception {
+    void hundredsOfWatchesShareOneEncodedList() throws Exception {
         int watches = 200;
         try (DiscoveryStandIn large = new DiscoveryStandIn(new Fleet(20_000, 7).backends())) {
-            List<HttpCall> open = new ArrayList<>();
-            long before = PlatformDependent.usedDirectMemory();
+            List<HttpCall> openWatches = new ArrayList<>();
+            long usedBefore = PlatformDependent.usedDirectMemory();
             for (int i = 0; i < watches; i++) {
                 HttpCall watch = new HttpCall(large.address(), WATCH);
-                open.add(watch);
+                openWatches.add(watch);
                 assertEquals("HTTP/1.1 200 OK", watch.status());
             }
-            assertEquals(watches, large.watches());
-            long list = 20_000 * 100; // a lower bound of its bytes
-            long held = PlatformDependent.usedDirectMemory() - before;
-            assertTrue(held >= list && held < 10 * list, held + " bytes for " + watches + " watches");
-            assertList(open.get(watches - 1).line(), 1, true, 20_000);
-            for (HttpCall watch : open) {
+            assertEquals(watches, large.watchCount());
+            long minListBytes = 20_000 * 100; // lower bound of the encoded list
+            long usedBytes = PlatformDependent.usedDirectMemory() - usedBefore;
+            assertTrue(usedBytes >= minListBytes && usedBytes < 10 * minListBytes,
+                    usedBytes + " bytes for " + watches + " watches");
+            assertList(openWatches.get(watches - 1).line(), 1, true, 20_000);
+            for (HttpCall watch : openWatches) {
                 watch.close();
             }
         }
--- a/src/test/java/dewstage/scale/ExperimentsTest.java
+++ b/src/test/java/dewstage/scale/ExperimentsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Short forms of the experiments: counts and ratios of what they measure, never absolute times. */
+/** Short runs of the experiments: checks counts and ratios of the measured values, never absolute times. */
 @Timeout(120)
 class ExperimentsTest {
     private static final List<String> SHORT =
@@ -41,7 +41,7 @@
         throw new AssertionError("no table " + title);
     }
 
-    /** The samples of a step; no proxy is missing in any. */
+    /** Returns the samples of a step after checking that no proxy is missing in any. */
     private static List<JsonNode> samples(JsonNode tables, String step) {
         List<JsonNode> rows = new ArrayList<>();
         for (JsonNode row : table(tables, "all proxies together")) {
@@ -54,28 +54,29 @@
         return rows;
     }
 
-    private static double slope(JsonNode tables, String step, String of, String per) {
+    private static double slope(JsonNode tables, String step, String column, String per) {
         for (JsonNode row : table(tables, "slopes")) {
-            if (row.path("step").asText().equals(step) && row.path("of").asText().equals(of)
+            if (row.path("step").asText().equals(step) && row.path("of").asText().equals(column)
                     && row.path("per").asText().equals(per)) {
                 return row.path("slope").asDouble();
             }
         }
-        throw new AssertionError("no slope of " + of + " per " + per);
+        throw new AssertionError("no slope of " + column + " per " + per);
     }
 
-    /** Each row has that number for each of its proxies. */
-    private static void assertPerProxy(List<JsonNode> rows, String figure, int least, int most) {
+    /** Checks that the value of a column per proxy is within the bounds in each row. */
+    private static void assertPerProxy(List<JsonNode> rows, String column, int min, int max) {
         for (JsonNode row : rows) {
-            double each = row.path(figure).asDouble() / row.path("proxies").asInt();
-            assertTrue(each >= least && each <= most, figure + ": " + row);
+            double perProxy = row.path(column).asDouble() / row.path("proxies").asInt();
+            assertTrue(perProxy >= min && perProxy <= max, column + ": " + row);
         }
     }
 
     @Test
     void aProxyCallsOnceForItsListAndItsBytesGrowWithTheEntries() throws Exception {
         JsonNode tables = run("start", "--entries", "200,400,800,1600", "--proxies", "2,4");
-        assertEquals(5, samples(tables, "first list").size(), "four sizes, and once more with more proxies");
+        assertEquals(5, samples(tables, "first list").size(),
+                "four sizes, and the largest with more proxies");
         assertPerProxy(samples(tables, "first list"), "calls", 1, 1);
         assertPerProxy(samples(tables, "first list"), "wholes", 1, 1);
         assertPerProxy(samples(tables, "list again"), "calls", 0, 0);
@@ -89,7 +90,7 @@
     }
 
     @Test
-    void aChangeCostsBytesByWhatChangedNotByTheList() throws Exception {
+    void theBytesOfAChangeDependOnTheChangedEntriesOnly() throws Exception {
         JsonNode tables = run("changes", "--entries", "200,400,800,1600", "--proxies", "2,4", "--changes",
                 "20,40", "--rates", "5,20", "--steady", "2", "--no-cold");
         assertPerProxy(samples(tables, "one change"), "calls", 0, 0);
@@ -97,14 +98,14 @@
         assertPerProxy(samples(tables, "burst"), "wholes", 0, 0);
         double perChange = slope(tables, "burst", "bytes", "change") / 2;
         assertTrue(perChange > 100 && perChange < 300, perChange + " bytes");
-        assertTrue(Math.abs(slope(tables, "burst", "bytes", "entry")) < 1, "the list plays no part");
+        assertTrue(Math.abs(slope(tables, "burst", "bytes", "entry")) < 1, "independent of the list");
         JsonNode rates = table(tables, "control at a rate");
         double ratio = rates.at("/1/bytes~1s").asDouble() / rates.at("/0/bytes~1s").asDouble();
         assertTrue(ratio > 2 && ratio < 8, "four times the changes, " + ratio + " times the bytes");
     }
 
     @Test
-    void aRackAndAZoneComeToAllProxiesAsChanges() throws Exception {
+    void failuresOfARackAndAZoneReachAllProxiesAsChanges() throws Exception {
         JsonNode rack = run("rack", "--entries", "400,800", "--proxies", "2", "--changes", "10,20");
         samples(rack, "rack gone").forEach(row -> assertTrue(row.path("changed").asInt() <= 20));
         assertPerProxy(samples(rack, "rack back"), "calls", 0, 0);
@@ -115,28 +116,28 @@
     }
 
     @Test
-    void allProxiesTogetherSpareAColdBackend() throws Exception {
+    void theLoadOfAllProxiesOnAColdBackendIsBounded() throws Exception {
         JsonNode tables = run("zone", "--entries", "360", "--proxies", "2", "--cold-proxies", "18");
         JsonNode row = table(tables, "zone back: sends").path(0);
         assertEquals("yes", row.path("holds").asText(), row.toString());
-        assertTrue(row.path("got any").asInt() > 0, "they are not left out for good: " + row);
+        assertTrue(row.path("got any").asInt() > 0, "cold backends must receive some requests: " + row);
         assertEquals(0, row.path("module errors").asInt());
     }
 
     @Test
-    void afterDiscoverysReturnEachProxyCallsOnceAndHearsWhatItMissed() throws Exception {
+    void afterAnOutageEachProxyCallsOnceAndReceivesTheMissedChanges() throws Exception {
         JsonNode tables = run("herd", "--entries", "400", "--proxies", "2,4", "--changes", "20",
                 "--away", "1");
         assertPerProxy(samples(tables, "call for changes"), "calls", 1, 1);
         assertPerProxy(samples(tables, "call for changes"), "wholes", 0, 0);
         assertPerProxy(samples(tables, "call for the list"), "wholes", 1, 1);
-        // Pauses grow from 0.1 s to 0.5 s: there are at least 4 in 2 s, and at most 20.
+        // pauses grow from 0.1 s to 0.5 s: at least 4 and at most 20 in 2 s
         assertPerProxy(samples(tables, "answered 503"), "refused", 3, 20);
         assertPerProxy(samples(tables, "call after that"), "wholes", 0, 0);
     }
 
     @Test
-    void watchesThatWereSilentReturnAndHearWhatTheyMissed() throws Exception {
+    void stalledWatchesResumeAndReceiveTheMissedChanges() throws Exception {
         JsonNode tables = run("region", "--entries", "400", "--proxies", "2", "--changes", "20",
                 "--silent", "7");
         assertPerProxy(samples(tables, "silent"), "calls", 1, 3);
@@ -144,7 +145,7 @@
     }
 
     @Test
-    void aRealProxyCallsOnceAndHearsItAllOnThatCall() throws Exception {
+    void aRealProxyReceivesAllUpdatesOnOneCall() throws Exception {
         JsonNode tables = report("real", "--entries", "400", "--beside", "1", "--hold", "1", "--rate", "5");
         JsonNode row = table(tables, "a real proxy").path(0);
         assertTrue(row.path("ready s").asDouble() > 0, row.toString());
--- a/src/test/java/dewstage/scale/HttpCall.java
+++ b/src/test/java/dewstage/scale/HttpCall.java
@@ -7,50 +7,50 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A plain call of discovery whose answer is read by hand, chunk by chunk. */
+/** A raw HTTP call to discovery whose response is read chunk by chunk. */
 final class HttpCall implements AutoCloseable {
-    private static final int READ_MS = 20_000;
+    private static final int READ_TIMEOUT_MS = 20_000;
 
     private final Socket socket = new Socket();
     private final BufferedReader in;
 
-    HttpCall(InetSocketAddress to, String pathAndQuery) throws IOException {
-        socket.setReceiveBufferSize(16 << 10); // what is not read stays with the sender
-        socket.connect(to, READ_MS);
-        socket.setSoTimeout(READ_MS);
+    HttpCall(InetSocketAddress address, String pathAndQuery) throws IOException {
+        socket.setReceiveBufferSize(16 << 10); // small, so that unread data stays with the sender
+        socket.connect(address, READ_TIMEOUT_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MS);
         in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         socket.getOutputStream().write(("GET " + pathAndQuery + " HTTP/1.1\r\nHost: d\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** The first line of the answer; the headers are passed over. Null if the connection has ended. */
+    /** Reads the status line and skips the headers; returns null if the connection has ended. */
     String status() throws IOException {
-        String first = in.readLine();
-        for (String line = first; line != null && !line.isEmpty();) {
+        String statusLine = in.readLine();
+        for (String line = statusLine; line != null && !line.isEmpty();) {
             line = in.readLine();
         }
-        return first;
+        return statusLine;
     }
 
-    /** The next chunk; empty is the end of the answer, null that of the connection. */
+    /** Reads the next chunk: empty at the end of the response, null if the connection has ended. */
     String chunk() throws IOException {
         String size = in.readLine();
         if (size == null) {
             return null;
         }
         char[] text = new char[Integer.parseInt(size, 16)];
-        for (int at = 0; at < text.length;) {
-            int n = in.read(text, at, text.length - at);
-            if (n < 0) {
+        for (int filled = 0; filled < text.length;) {
+            int count = in.read(text, filled, text.length - filled);
+            if (count < 0) {
                 return null;
             }
-            at += n;
+            filled += count;
         }
         in.readLine();
         return new String(text);
     }
 
-    /** The next line with something on it, out of as many chunks as it takes. */
+    /** Reads the next non-empty line from one or more chunks; returns null if the connection has ended. */
     String line() throws IOException {
         StringBuilder line = new StringBuilder();
         while (line.isEmpty() || line.charAt(line.length() - 1) != '\n') {
@@ -63,9 +63,9 @@
         return line.toString();
     }
 
-    /** Does nothing come for so long? */
-    boolean silentFor(int ms) throws IOException {
-        socket.setSoTimeout(ms);
+    /** Returns whether nothing is received for the given time. */
+    boolean isSilentFor(int durationMs) throws IOException {
+        socket.setSoTimeout(durationMs);
         try {
             in.mark(1);
             in.read();
@@ -74,7 +74,7 @@
         } catch (java.net.SocketTimeoutException e) {
             return true;
         } finally {
-            socket.setSoTimeout(READ_MS);
+            socket.setSoTimeout(READ_TIMEOUT_MS);
         }
     }
 
--- a/src/test/java/dewstage/scale/LimitsTest.java
+++ b/src/test/java/dewstage/scale/LimitsTest.java
@@ -6,13 +6,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What a machine does not bear is refused with the figure. */
+/** Experiments that exceed the limits of the machine are refused with the exceeded value. */
 class LimitsTest {
     private static final long MB = 1 << 20;
     private final Limits limits = new Limits(8000 * MB, 2000 * MB);
 
     @Test
-    void halfOfTheMemoryAnd300ProcessesAreBorne() {
+    void halfOfTheMemoryAnd300ProcessesAreAllowed() {
         assertNull(limits.refusal(2000 * MB, 300, 2000 * MB));
     }
 
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void moreIsRefusedWithTheFigure() {
+    void exceededLimitsAreRefusedWithTheValue() {
         assertTrue(limits.refusal(0, 301, 0).contains("301 processes"));
         assertTrue(limits.refusal(1000 * MB, 1, 3001 * MB).contains("4001 MB"));
         assertTrue(limits.refusal(2001 * MB, 0, 0).contains("-Xmx2001m"));
--- a/src/test/java/dewstage/scale/LoggedLinesTest.java
+++ b/src/test/java/dewstage/scale/LoggedLinesTest.java
@@ -8,11 +8,11 @@
 import java.io.PrintStream;
 import org.junit.jupiter.api.Test;
 
-/** What many proxies say is told once, with how often it was said. */
+/** A line that many proxies log is reported once, with its count. */
 class LoggedLinesTest {
     @Test
-    void aLineIsCountedWhateverItsTimeAndTheErrorStreamComesBack() throws Exception {
-        PrintStream before = System.err;
+    void linesAreCountedWithoutTheirTimeAndTheErrorStreamIsRestored() throws Exception {
+        PrintStream originalErr = System.err;
         Report report = new Report("start");
         try (LoggedLines loggedLines = new LoggedLines()) {
             System.err.println("1700000000001 discovery is silent");
@@ -20,7 +20,7 @@
             System.err.println("1700000000003 discovery is silent");
             loggedLines.report(report);
         }
-        assertSame(before, System.err);
+        assertSame(originalErr, System.err);
         JsonNode rows = new ObjectMapper().readTree(report.json()).at("/tables/0/rows");
         assertEquals(2, rows.size());
         assertEquals("discovery is silent", rows.at("/0/line").asText());
--- a/src/test/java/dewstage/scale/ModuleExperimentTest.java
+++ b/src/test/java/dewstage/scale/ModuleExperimentTest.java
@@ -21,27 +21,27 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The experiment on the module, in processes of its own, and what it makes of what they say. */
+/** The module experiment with its child processes, and the evaluation of their output. */
 @Timeout(120)
 class ModuleExperimentTest {
     private static final ModuleShape SHAPE = ModuleShape.scaled(200);
 
     @TempDir
-    Path folder;
+    Path directory;
 
-    /** An older build: here it is this one, so that both must do the same. */
+    /** Packs this build as the baseline, so that both builds make the same decisions. */
     private Path baseline() throws IOException {
-        Path target = Files.createDirectories(folder.resolve("target"));
+        Path target = Files.createDirectories(directory.resolve("target"));
         Path classes = Build.ownClasses();
         try (OutputStream file = Files.newOutputStream(target.resolve("dewstage.jar"));
                 JarOutputStream jar = new JarOutputStream(file);
-                Stream<Path> all = Files.list(classes.resolve("dewstage"))) {
-            for (Path c : all.filter(Files::isRegularFile).toList()) {
-                jar.putNextEntry(new JarEntry(classes.relativize(c).toString()));
-                Files.copy(c, jar);
+                Stream<Path> entries = Files.list(classes.resolve("dewstage"))) {
+            for (Path classFile : entries.filter(Files::isRegularFile).toList()) {
+                jar.putNextEntry(new JarEntry(classes.relativize(classFile).toString()));
+                Files.copy(classFile, jar);
             }
         }
-        return folder;
+        return directory;
     }
 
     private static int run(StringWriter out, StringWriter err, String... args) {
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void eachMeasureIsGivenForEachSizeAndBuildAndABuildBesideItselfDoesTheSame() throws Exception {
+    void eachMeasureIsReportedPerSizeAndBuildAndTheSameBuildDecidesAlike() throws Exception {
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
         assertEquals(0, run(out, err, "module", "--entries", "50,200", "--repeat", "1", "--json", "-",
@@ -80,51 +80,51 @@
         List<String> remarks = new ObjectMapper().convertValue(report.path("remarks"),
                 new TypeReference<List<String>>() { });
         assertEquals(2, remarks.size(), remarks.toString());
-        String done = remarks.get(0).substring(remarks.get(0).indexOf(':'));
-        assertTrue(remarks.get(1).endsWith(done), remarks.toString());
+        String requestCounts = remarks.get(0).substring(remarks.get(0).indexOf(':'));
+        assertTrue(remarks.get(1).endsWith(requestCounts), remarks.toString());
     }
 
     @Test
-    void aBaselineThatIsNotBuiltIsAWrongArgument() {
+    void aBaselineWithoutAJarIsAnInvalidArgument() {
         StringWriter err = new StringWriter();
-        assertEquals(2, run(new StringWriter(), err, "module", "--baseline", folder.toString()));
+        assertEquals(2, run(new StringWriter(), err, "module", "--baseline", directory.toString()));
         assertTrue(err.toString().contains("--baseline: there is no "), err.toString());
     }
 
     @Test
-    void whatDoesNotFitIntoItsTimeIsSaidToBeMissing() {
+    void anExperimentThatExceedsItsTimeIsReportedAsIncomplete() {
         StringWriter out = new StringWriter();
         assertEquals(1, run(out, new StringWriter(), "module", "--seconds", "1", "--entries", "68000",
                 "--repeat", "50"));
-        assertTrue(out.toString().contains("NOT WHOLE"), out.toString());
+        assertTrue(out.toString().contains("INCOMPLETE"), out.toString());
     }
 
     @Test
-    void theMedianOfEachRepetitionCountsAndOneThatBrokeOffDoesNot() {
+    void theMedianOfEachCompleteRepetitionCounts() {
         ModuleCosts costs = new ModuleCosts();
-        assertTrue(costs.take("a", SHAPE, List.of("SERVED 1000.0", "SERVED 3000.0", "SERVED 9000.0",
+        assertTrue(costs.addOutput("a", SHAPE, List.of("SERVED 1000.0", "SERVED 3000.0", "SERVED 9000.0",
                 "DONE 1f 10 1")));
-        assertTrue(costs.take("a", SHAPE, List.of("SERVED 5000.0", "DONE 1f 10 0")));
-        assertFalse(costs.take("a", SHAPE, List.of("SERVED 70000.0")));
+        assertTrue(costs.addOutput("a", SHAPE, List.of("SERVED 5000.0", "DONE 1f 10 0")));
+        assertFalse(costs.addOutput("a", SHAPE, List.of("SERVED 70000.0")));
         assertEquals(4.0, costs.median("a", SHAPE, Measure.SERVED));
-        assertEquals(3.0, costs.least("a", SHAPE, Measure.SERVED));
-        assertEquals(5.0, costs.most("a", SHAPE, Measure.SERVED));
+        assertEquals(3.0, costs.min("a", SHAPE, Measure.SERVED));
+        assertEquals(5.0, costs.max("a", SHAPE, Measure.SERVED));
         assertTrue(Double.isNaN(costs.median("a", SHAPE, Measure.CHANGE)));
         assertEquals(20, costs.served("a"));
-        assertEquals(1, costs.ended("a"));
+        assertEquals(1, costs.rejected("a"));
     }
 
     @Test
-    void buildsThatDecideOtherwiseAreToldApart() {
+    void differentDecisionsOfBuildsAreDetected() {
         ModuleCosts costs = new ModuleCosts();
-        costs.take("a", SHAPE, List.of("DONE 1f 10 1"));
-        assertTrue(costs.alike(SHAPE));
-        costs.take("b", SHAPE, List.of("DONE 20 10 1"));
-        assertFalse(costs.alike(SHAPE));
+        costs.addOutput("a", SHAPE, List.of("DONE 1f 10 1"));
+        assertTrue(costs.hasSameDecisions(SHAPE));
+        costs.addOutput("b", SHAPE, List.of("DONE 20 10 1"));
+        assertFalse(costs.hasSameDecisions(SHAPE));
     }
 
     @Test
-    void aBoundThatIsBrokenAndOneThatIsNotMeasuredAreSaidSo() throws IOException {
+    void exceededAndUnmeasuredBoundsAreReported() throws IOException {
         Report report = new Report("x");
         Verdicts verdicts = new Verdicts(report);
         verdicts.add("kept", 2, 1.9);
--- a/src/test/java/dewstage/scale/ModuleRunTest.java
+++ b/src/test/java/dewstage/scale/ModuleRunTest.java
@@ -13,50 +13,50 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The module's costs as the scale tests find them: counts, and ratios between sizes of one run. */
+/** The costs of the module as the scale tests measure them: counts, and ratios between sizes. */
 class ModuleRunTest {
-    /** Sizes of the ratios, and how often each is measured, in turns. */
-    private static final int SMALL = 1000, LARGE = 16_000, TIMES = 3;
-    /** A walk of all costs as much more as there are more; caches and a busy machine make that some more. */
-    private static final double LINEAR = 3.0 * LARGE / SMALL;
-    /** What walks the subset costs the same; measured were 1.2 to 1.6 times, with walks of all over 20. */
-    private static final double FLAT = 5;
+    /** The sizes to compare, and the number of alternating measurements of each. */
+    private static final int SMALL = 1000, LARGE = 16_000, REPEATS = 3;
+    /** Limit for a scan of all entries: linear growth, with a margin for caches and a busy machine. */
+    private static final double MAX_LINEAR_RATIO = 3.0 * LARGE / SMALL;
+    /** Limit for a scan of the subset: typically a ratio of 1.2 to 1.6; scans of all entries exceed 20. */
+    private static final double MAX_CONSTANT_RATIO = 5;
 
     private static VirtualHost run(ModuleShape shape, long seed) {
-        return new ModuleRun(Policy::new, shape, seed, System::nanoTime, (m, ns) -> { }).all();
+        return new ModuleRun(Policy::new, shape, seed, System::nanoTime, (m, ns) -> { }).runAll();
     }
 
-    /** A host that has played the warm-up, with nothing failing. */
-    private static VirtualHost warm(ModuleShape shape) {
+    /** Returns a host after the warm-up, without failures. */
+    private static VirtualHost warmedUp(ModuleShape shape) {
         VirtualHost host = new VirtualHost(Policy::new, shape.settings(), 3, System::nanoTime);
-        host.members(ListKind.FULL, shape.members());
-        host.requests(ModuleRun.WARM_REQUESTS);
+        host.applyMembers(ListKind.FULL, shape.members());
+        host.runRequests(ModuleRun.WARM_REQUESTS);
         return host;
     }
 
     @Test
-    void theSameSeedGivesTheSameDecisionsAndAnotherGivesOthers() {
+    void theSameSeedYieldsTheSameDecisionsAndAnotherOneDoesNot() {
         ModuleShape shape = ModuleShape.scaled(200);
         assertEquals(run(shape, 5).digest(), run(shape, 5).digest());
         assertNotEquals(run(shape, 5).digest(), run(shape, 6).digest());
     }
 
     @Test
-    void withNothingFailingEveryRequestIsServedAndTheSubsetIsWhatIsUsed() {
-        VirtualHost small = warm(ModuleShape.scaled(1000));
-        VirtualHost large = warm(ModuleShape.scaled(17_000));
+    void withoutFailuresAllRequestsAreServedByTheSubset() {
+        VirtualHost small = warmedUp(ModuleShape.scaled(1000));
+        VirtualHost large = warmedUp(ModuleShape.scaled(17_000));
         for (VirtualHost host : List.of(small, large)) {
-            assertEquals(0, host.ended());
-            // An answer takes 30 ms at the most, so that of the last 8 requests none need have come.
+            assertEquals(0, host.rejected());
+            // A response takes up to 30 ms: the last 8 requests may still be waiting for theirs.
             assertTrue(host.served() >= ModuleRun.WARM_REQUESTS - 8, "served " + host.served());
         }
-        assertTrue(small.used() >= 20, "used " + small.used());
-        assertTrue(large.used() <= 2 * small.used(), large.used() + " used of 17,000, " + small.used()
-                + " of 1,000");
+        assertTrue(small.usedServerCount() >= 20, "used " + small.usedServerCount());
+        assertTrue(large.usedServerCount() <= 2 * small.usedServerCount(),
+                large.usedServerCount() + " used of 17,000, " + small.usedServerCount() + " of 1,000");
     }
 
     @Test
-    void theTargetIsCutToScale() {
+    void smallerFleetsAreScaledDownFromTheTarget() {
         assertEquals(new ModuleShape(68_000, 18, 5300), ModuleShape.scaled(68_000));
         assertEquals(ModuleShape.scaled(68_000), ModuleShape.sameZones(68_000));
         assertEquals(new ModuleShape(17_000, 5, 1325), ModuleShape.scaled(17_000));
@@ -66,31 +66,31 @@
                 .count());
     }
 
-    /** Measures once more; what is kept is the least, in processor time of this thread alone. */
-    private static void measure(ModuleShape shape, Map<Measure, Double> least) {
+    /** Measures once more in processor time of this thread; keeps the minimum of each measure. */
+    private static void measure(ModuleShape shape, Map<Measure, Double> minimumNs) {
         ThreadMXBean threads = ManagementFactory.getThreadMXBean();
         ModuleRun run = new ModuleRun(Policy::new, shape, 11, threads::getCurrentThreadCpuTime,
-                (m, ns) -> least.merge(m, ns, Math::min));
-        run.warm();
-        run.requests(Measure.SERVED);
-        run.changes();
-        run.lists();
+                (m, ns) -> minimumNs.merge(m, ns, Math::min));
+        run.warmUp();
+        run.measureRequests(Measure.SERVED);
+        run.measureChanges();
+        run.measureLists();
     }
 
-    /** At sixteen times the size a request and a change cost about as much, a whole list by its length. */
+    /** At 16 times the size, requests and changes cost about the same; a full list grows with its length. */
     @Test
-    void requestsAndChangesCostWhatIsInUseAndAListCostsItsLength() {
+    void requestsAndChangesCostConstantTimeAndAListLinearTime() {
         Map<Measure, Double> small = new EnumMap<>(Measure.class);
         Map<Measure, Double> large = new EnumMap<>(Measure.class);
-        for (int i = 0; i < TIMES; i++) {
+        for (int i = 0; i < REPEATS; i++) {
             measure(ModuleShape.scaled(SMALL), small);
             measure(ModuleShape.scaled(LARGE), large);
         }
         for (Measure m : List.of(Measure.SERVED, Measure.CHANGE, Measure.CHANGE_AND_NEXT,
                 Measure.LIST_AGAIN)) {
             double ratio = large.get(m) / small.get(m);
-            assertTrue(ratio <= (m == Measure.LIST_AGAIN ? LINEAR : FLAT), m.title + ": " + ratio
-                    + " times as much");
+            assertTrue(ratio <= (m == Measure.LIST_AGAIN ? MAX_LINEAR_RATIO : MAX_CONSTANT_RATIO),
+                    m.title + ": " + ratio + " times as much");
         }
     }
 }
--- a/src/test/java/dewstage/scale/ReportTest.java
+++ b/src/test/java/dewstage/scale/ReportTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What is printed and what is written as JSON are the same. */
+/** Reports, tables and JSON, fitted lines and percentiles. */
 class ReportTest {
     @TempDir
-    Path folder;
+    Path directory;
 
     private static Report report() {
-        Report report = new Report("start").given("seed", 7L).given("entries", List.of(10, 20));
+        Report report = new Report("start").parameter("seed", 7L).parameter("entries", List.of(10, 20));
         report.table("first list", "entries", "last ms", "all had it").row(10, 1.5, true)
                 .row(20, Double.NaN, false);
         report.remark("a remark");
@@ -28,8 +28,8 @@
     }
 
     @Test
-    void theTableAndTheJsonHoldTheSame() throws Exception {
-        Path file = folder.resolve("report.json");
+    void theTableAndTheJsonContainTheSameValues() throws Exception {
+        Path file = directory.resolve("report.json");
         StringWriter out = new StringWriter();
         report().write(new PrintWriter(out), new PrintWriter(new StringWriter()), file.toString());
         assertTrue(out.toString().contains("entries  last ms  all had it\n       10     1.50        true\n"
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void jsonOnTheStandardOutputStandsThereAlone() throws Exception {
+    void jsonOnStandardOutputIsNotMixedWithTables() throws Exception {
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
         report().write(new PrintWriter(out), new PrintWriter(err), "-");
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aRowThatLacksAValueIsASlip() {
+    void aRowWithAMissingValueIsRejected() {
         Table table = report().table("t", "a", "b");
         assertThrows(IllegalArgumentException.class, () -> table.row(1));
     }
@@ -67,13 +67,13 @@
 
     @Test
     void percentilesAreInMilliseconds() {
-        Times times = new Times();
-        assertTrue(Double.isNaN(times.lastMs()));
+        Latencies latencies = new Latencies();
+        assertTrue(Double.isNaN(latencies.maxMs()));
         for (int i = 1; i <= 100; i++) {
-            times.add(i * 1_000_000L);
+            latencies.add(i * 1_000_000L);
         }
-        assertEquals(50, times.medianMs(), 0.1);
-        assertEquals(99, times.ms(99), 0.1);
-        assertEquals(100, times.lastMs(), 0.1);
+        assertEquals(50, latencies.medianMs(), 0.1);
+        assertEquals(99, latencies.percentileMs(99), 0.1);
+        assertEquals(100, latencies.maxMs(), 0.1);
     }
 }
--- a/src/test/java/dewstage/scale/RequestExperimentTest.java
+++ b/src/test/java/dewstage/scale/RequestExperimentTest.java
@@ -27,13 +27,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real proxies under load, in their short form, and the parts that load and answer them. */
+/** A short run of real proxies under load, and the load generator and backends that it uses. */
 @Timeout(180)
 class RequestExperimentTest {
-    private static final long MS = 1_000_000;
+    private static final long NS_PER_MS = 1_000_000;
 
     @TempDir
-    Path folder;
+    Path directory;
     private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
 
@@ -43,21 +43,21 @@
         loops.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    private SmallBackend backend(long serviceMs) {
-        return new SmallBackend(loops, timer, 2, serviceMs * MS);
+    private BackendStandIn backend(long serviceMs) {
+        return new BackendStandIn(loops, timer, 2, serviceMs * NS_PER_MS);
     }
 
-    private OpenLoop load(SmallBackend backend) {
+    private OpenLoop load(BackendStandIn backend) {
         return new OpenLoop(loops.next(), List.of(backend.addresses()));
     }
 
-    private static JsonNode table(JsonNode report, int place) {
-        return report.path("tables").path(place).path("rows");
+    private static JsonNode table(JsonNode report, int index) {
+        return report.path("tables").path(index).path("rows");
     }
 
-    /** Counts only: each proxy has its list by one call, and answers as many as were sent. */
+    /** Counts only: each proxy receives its list by one call and answers the requests sent to it. */
     @Test
-    void realProxiesAreReadyByOneCallEachAndServeTheirLoad() throws Exception {
+    void realProxiesAreReadyAfterOneCallEachAndServeTheirLoad() throws Exception {
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
         assertEquals(0, Scale.run(new PrintWriter(out), new PrintWriter(err), "request",
@@ -72,26 +72,26 @@
         assertEquals(3, table(report, 1).size());
         for (JsonNode side : table(report, 1)) {
             assertEquals(245, side.path("sent").asInt(), side.toString());
-            // A machine that stands still for a client's whole time-out costs some.
+            // a machine that stalls for the time-out of a client loses some requests
             assertTrue(side.path("not served").asInt() <= 245 / 2, side.toString());
-            assertTrue(side.path("ms 50").asDouble() >= 2, "quicker than a backend works: " + side);
+            assertTrue(side.path("ms 50").asDouble() >= 2, "faster than the backend: " + side);
         }
         assertEquals(2, table(report, 2).size());
         assertEquals("not measured", table(report, 3).path(0).path("holds").asText());
     }
 
     @Test
-    void moreProcessesThanTheMachineBearsAreRefusedBeforeAnyStarts() {
+    void tooManyProcessesAreRefusedBeforeAnyStarts() {
         StringWriter err = new StringWriter();
         assertEquals(2, Scale.run(new PrintWriter(new StringWriter()), new PrintWriter(err), "request",
                 "--proxies", "151"));
-        assertTrue(err.toString().contains("this takes 302 processes, more than 300"), err.toString());
+        assertTrue(err.toString().contains("this needs 302 processes, more than 300"), err.toString());
     }
 
     @Test
-    void whatCannotBeUsedIsAWrongArgument() {
+    void unusableOptionsAreInvalidArguments() {
         for (List<String> wrong : List.of(List.of("--proxies", "1,2"), List.of("--load-seconds", "0"),
-                List.of("--ready-seconds", "0"), List.of("--baseline", folder.toString()))) {
+                List.of("--ready-seconds", "0"), List.of("--baseline", directory.toString()))) {
             StringWriter err = new StringWriter();
             assertEquals(2, Scale.run(new PrintWriter(new StringWriter()), new PrintWriter(err), "request",
                     wrong.get(0), wrong.get(1)));
@@ -100,53 +100,54 @@
     }
 
     @Test
-    void aSideThatIsNeverReadyIsGivenUpInItsTimeAndEndsWithItsProcesses() throws Exception {
+    void aGroupThatIsNeverReadyTimesOutAndIsTerminatedWithItsProcesses() throws Exception {
         try (DiscoveryStandIn discovery = new DiscoveryStandIn(new Fleet(20, 1).backends())) {
             Process other = new ProcessBuilder("sleep", "600").start();
-            Side side;
+            ProxyGroup group;
             try (Processes processes = new Processes()) {
-                side = new Side(processes, "x", new Launch(List.of("sleep", "600"), folder), discovery, 20,
-                        2, 1, folder);
-                assertFalse(side.awaitReady(200 * MS));
-                assertTrue(Double.isNaN(side.readyS()));
-                assertEquals(2, side.alive());
+                group = new ProxyGroup(processes, "x", new Launch(List.of("sleep", "600"), directory),
+                        discovery, 20, 2, 1, directory);
+                assertFalse(group.awaitReady(200 * NS_PER_MS));
+                assertTrue(Double.isNaN(group.readyS()));
+                assertEquals(2, group.runningCount());
             }
-            assertEquals(0, side.alive());
-            assertTrue(other.isAlive(), "a process that is not its own has ended");
+            assertEquals(0, group.runningCount());
+            assertTrue(other.isAlive(), "a process that it did not start has ended");
             other.destroyForcibly();
         }
     }
 
     @Test
-    void theLoadKeepsItsPaceWhateverTheAnswersTake() throws Exception {
-        try (SmallBackend backend = backend(300)) {
-            OpenLoop.Result result = load(backend).run(100, 1000 * MS);
+    void theRequestRateIsIndependentOfTheResponseTimes() throws Exception {
+        try (BackendStandIn backend = backend(300)) {
+            OpenLoop.Result result = load(backend).run(100, 1000 * NS_PER_MS);
             assertEquals(100, result.sent());
-            // One that waits for its answers could send four in that time on each connection.
-            assertTrue(result.times().count() >= 90, result.times().count() + " served");
-            assertTrue(result.times().ms(0) >= 299, "quicker than the backend works");
-            assertEquals(result.times().count(), backend.answered());
+            // a generator that waits for responses could send only four in that time on each connection
+            assertTrue(result.latencies().count() >= 90, result.latencies().count() + " served");
+            assertTrue(result.latencies().percentileMs(0) >= 299, "faster than the backend");
+            assertEquals(result.latencies().count(), backend.servedCount());
         }
     }
 
     @Test
-    void aPauseCountsInAllRequestsThatWereMeantToGoOutInIt() throws Exception {
-        try (SmallBackend backend = backend(1)) {
+    void aPauseCountsInTheLatencyOfAllRequestsScheduledDuringIt() throws Exception {
+        try (BackendStandIn backend = backend(1)) {
             OpenLoop load = load(backend);
             loops.forEach(l -> l.schedule(() -> {
                 TimeUnit.MILLISECONDS.sleep(400);
                 return null;
             }, 300, TimeUnit.MILLISECONDS));
-            OpenLoop.Result result = load.run(245, 1000 * MS);
+            OpenLoop.Result result = load.run(245, 1000 * NS_PER_MS);
             assertEquals(245, result.sent());
-            // Those of the first half of the pause, a fifth of all, have waited for its second half.
-            assertTrue(result.times().ms(81) >= 200, "the pause is hidden: " + result.times().ms(81));
+            // requests of the first half of the pause, a fifth of all, waited for its second half
+            assertTrue(result.latencies().percentileMs(81) >= 200,
+                    "the pause is hidden: " + result.latencies().percentileMs(81));
         }
     }
 
     @Test
-    void aBackendAnswersAsTheProtocolSays() throws Exception {
-        try (SmallBackend backend = backend(1)) {
+    void aBackendRespondsAsTheProtocolDefines() throws Exception {
+        try (BackendStandIn backend = backend(1)) {
             InetSocketAddress address = backend.addresses().get(1);
             URI uri = URI.create("http://127.0.0.1:" + address.getPort() + "/look/1");
             HttpClient client = HttpClient.newHttpClient();
@@ -157,7 +158,7 @@
                     .matches("inflight=0,queue=0,util=0\\.[2-4][0-9]"), served.headers().toString());
             assertEquals(404, client.send(HttpRequest.newBuilder(uri).build(),
                     HttpResponse.BodyHandlers.ofString()).statusCode());
-            assertEquals(1, backend.answered());
+            assertEquals(1, backend.servedCount());
         }
     }
 }
--- a/src/test/java/dewstage/scale/ScaleTest.java
+++ b/src/test/java/dewstage/scale/ScaleTest.java
@@ -9,7 +9,7 @@
 
 /** The command line of the scale tests. */
 class ScaleTest {
-    /** Runs it; returns what it said on standard error, after the exit code is seen to be this. */
+    /** Checks that the command line is refused with exit code 2; returns the standard error output. */
     private static String refused(String... args) {
         StringWriter err = new StringWriter();
         assertEquals(2, Scale.run(new PrintWriter(new StringWriter()), new PrintWriter(err), args));
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void aWrongCommandLineIsUsage() {
+    void anInvalidCommandLinePrintsTheUsage() {
         assertTrue(refused().contains("Usage: scale"));
         assertTrue(refused("nosuch").contains("Usage: scale"));
         assertTrue(refused("start", "--entries", "20,10").contains("--entries: 10 is not more than 20"));
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void eachExperimentSaysWhatCanBeSet() {
+    void theHelpOfAnExperimentListsItsOptions() {
         StringWriter out = new StringWriter();
         PrintWriter err = new PrintWriter(new StringWriter());
         assertEquals(0, Scale.run(new PrintWriter(out), err, "changes", "--help"));
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aSizeThatTheMachineDoesNotBearIsRefusedWithTheFigure() {
+    void aSizeBeyondTheMemoryIsRefusedWithTheValue() {
         assertTrue(refused("start", "--entries", "10000000", "--proxies", "1000").contains(" MB, more than"));
     }
 }
