--- a/src/main/java/dewstage/scale/ColdBackendLoad.java
+++ b/src/main/java/dewstage/scale/ColdBackendLoad.java
@@ -4,7 +4,8 @@
 
 /**
  * Measures the load on a single cold backend from all hollow proxies together. Their modules receive requests
- * as in service and share the cold capacity; a send counts as its arrival since there is no network between.
+ * as in service and divide the budgets of cold backends among themselves; a send counts as its arrival since
+ * there is no network between.
  */
 final class ColdBackendLoad {
     /** Time for the modules to estimate their request rates before backends start. */
--- a/src/main/java/dewstage/scale/Experiment.java
+++ b/src/main/java/dewstage/scale/Experiment.java
@@ -41,8 +41,7 @@
         }
         Report report = new Report(spec.name()).parameter("seed", options.seed)
                 .parameter("entries", options.entries).parameter("proxies", options.proxies)
-                .parameter("repeat", options.repeat)
-                .parameter("seconds", options.seconds);
+                .parameter("repeat", options.repeat).parameter("seconds", options.seconds);
         Deadline deadline = new Deadline(options.seconds);
         boolean isComplete = measure(new Run(report, new Progress(err), deadline))
                 && !deadline.hasPassed(); // the last wait may have been cut short
--- a/src/main/java/dewstage/scale/FleetExperiment.java
+++ b/src/main/java/dewstage/scale/FleetExperiment.java
@@ -36,8 +36,7 @@
     @Override
     ResourceNeeds needs() {
         return new ResourceNeeds(requiredHeapBytes(Point.largest(options.entries),
-                Point.largest(options.proxies)),
-                0, 0);
+                Point.largest(options.proxies)), 0, 0);
     }
 
     /** Returns the heap in bytes that this process needs for the given numbers of entries and proxies. */
--- a/src/main/java/dewstage/scale/HollowProxies.java
+++ b/src/main/java/dewstage/scale/HollowProxies.java
@@ -31,7 +31,7 @@
     /** Half of the cores: discovery needs one, and the machine is shared with other processes. */
     private static final int THREADS = Math.max(1, Runtime.getRuntime().availableProcessors() / 2);
     /** Response time of an attempt, like that of a small backend. */
-    private static final long ANSWER_NS = 20_000_000L;
+    private static final long RESPONSE_NS = 20_000_000L;
     /** Limits of a proxy in service; its memory may bound the length of its list. */
     private static final int MEMORY_MB = 192, SOCKETS = 1024;
     private static final long CLIENT_GIVE_UP_NS = 600_000_000L, NS_PER_S = 1_000_000_000L;
@@ -165,7 +165,7 @@
         }
 
         void start() {
-            proxy = HollowProxy.start(config, loop, Policy::new, ANSWER_NS, this);
+            proxy = HollowProxy.start(config, loop, Policy::new, RESPONSE_NS, this);
         }
 
         void setRequestRate(double requestsPerSecond) {
--- a/src/main/java/dewstage/scale/LoadedGroup.java
+++ b/src/main/java/dewstage/scale/LoadedGroup.java
@@ -12,16 +12,16 @@
     }
 
     private final ProxyGroup group;
-    private final OpenLoop load;
+    private final OpenLoop generator;
     private Latencies latencies = new Latencies();
     private long sent;
     private long cpuNs;
     private long wallNs;
 
     /** Creates a loaded group; a null group stands for the backends without a proxy. */
-    LoadedGroup(ProxyGroup group, OpenLoop load) {
+    LoadedGroup(ProxyGroup group, OpenLoop generator) {
         this.group = group;
-        this.load = load;
+        this.generator = generator;
     }
 
     ProxyGroup group() {
@@ -32,7 +32,7 @@
     void load(long durationNs) throws InterruptedException, ExecutionException {
         long cpuBeforeNs = cpuNs();
         long startNs = System.nanoTime();
-        OpenLoop.Result result = load.run(VirtualHost.REQUESTS_PER_SECOND, durationNs);
+        OpenLoop.Result result = generator.run(VirtualHost.REQUESTS_PER_SECOND, durationNs);
         wallNs += System.nanoTime() - startNs;
         cpuNs += cpuNs() - cpuBeforeNs;
         latencies.addAll(result.latencies());
@@ -45,11 +45,11 @@
 
     /** Returns and resets the accumulated result. */
     LoadResult takeResult() {
-        LoadResult loadResult = new LoadResult(latencies, sent, (double) cpuNs / wallNs);
+        LoadResult accumulated = new LoadResult(latencies, sent, (double) cpuNs / wallNs);
         latencies = new Latencies();
         sent = 0;
         cpuNs = 0;
         wallNs = 0;
-        return loadResult;
+        return accumulated;
     }
 }
--- a/src/main/java/dewstage/scale/ModuleChild.java
+++ b/src/main/java/dewstage/scale/ModuleChild.java
@@ -12,15 +12,15 @@
 final class ModuleChild {
     /** Start of the last line of output. */
     static final String DONE = "DONE";
-    /** Limits of the repetition of small fleets, whose runs are short; each round has another seed. */
-    private static final int MAX_ROUNDS = 8, MIN_TOTAL_ENTRIES = 34_000;
+    /** Small fleets are measured in several rounds with other seeds, up to this total of entries. */
+    private static final int MAX_ROUNDS = 8, TOTAL_ENTRIES = 34_000;
 
     private ModuleChild() { }
 
     public static void main(String[] args) {
         ModuleShape shape = new ModuleShape(Integer.parseInt(args[1]), Integer.parseInt(args[2]),
                 Integer.parseInt(args[3]));
-        int rounds = Math.max(1, Math.min(MAX_ROUNDS, MIN_TOTAL_ENTRIES / shape.entries()));
+        int rounds = Math.max(1, Math.min(MAX_ROUNDS, TOTAL_ENTRIES / shape.entries()));
         long digest = 0;
         int served = 0;
         int rejected = 0;
--- a/src/main/java/dewstage/scale/ModuleRun.java
+++ b/src/main/java/dewstage/scale/ModuleRun.java
@@ -14,7 +14,7 @@
  */
 final class ModuleRun {
     /** Three times the window in which the module remembers arrivals: the subset is then as in service. */
-    static final int WARM_REQUESTS = 6 * VirtualHost.REQUESTS_PER_SECOND;
+    static final int WARM_UP_REQUESTS = 6 * VirtualHost.REQUESTS_PER_SECOND;
     /** Requests of a block, which lasts long enough to contain some of the periodic work done every 50 ms. */
     private static final int BLOCK_REQUESTS = VirtualHost.REQUESTS_PER_SECOND / 5, BLOCKS = 9;
     /** Requests until the rare failures have taken effect. */
@@ -59,7 +59,7 @@
 
     void warmUp() {
         host.applyMembers(ListKind.FULL, shape.members());
-        host.runRequests(WARM_REQUESTS);
+        host.runRequests(WARM_UP_REQUESTS);
     }
 
     /** Measures requests with their responses, and the timers between them. */
@@ -87,7 +87,7 @@
             State state = LIFECYCLE.get(changeCount % LIFECYCLE.size());
             int index = (int) ((long) (changeCount / LIFECYCLE.size()) * STRIDE % shape.entries());
             List<Member> changedEntry = List.of(shape.member(index, state,
-                    state == State.READY ? host.now() : 0));
+                    state == State.READY ? host.nowNs() : 0));
             host.resetCosts();
             host.applyMembers(ListKind.DELTA, changedEntry);
             double changeNs = host.takeCostNs(Call.MEMBERS);
@@ -111,7 +111,7 @@
 
     /** Restarts the own zone: measures the change as one update, then requests while the zone is cold. */
     private void measureOwnZone() {
-        List<Member> ownZoneMembers = shape.ownZone(host.now());
+        List<Member> ownZoneMembers = shape.ownZone(host.nowNs());
         host.resetCosts();
         host.applyMembers(ListKind.DELTA, ownZoneMembers);
         sink.cost(Measure.ZONE_ENTRY, (double) host.takeCostNs(Call.MEMBERS) / ownZoneMembers.size());
--- a/src/main/java/dewstage/scale/ProxyConfig.java
+++ b/src/main/java/dewstage/scale/ProxyConfig.java
@@ -11,11 +11,11 @@
  * class of requests, typical limits, pushed lists and no initial list.
  *
  * @param me the proxy's number, from 0
- * @param balancers how many proxies the fleet has
- * @param listen an IP address and a port; port 0 is any
- * @param discovery an IP address and a port
- * @param memoryMb the limit on the process's memory, in MB
- * @param sockets the limit on its sockets
+ * @param balancers number of proxies in the fleet
+ * @param listen IP address and port; port 0 chooses a free one
+ * @param discovery IP address and port
+ * @param memoryMb memory limit of the process in MB
+ * @param sockets maximum number of sockets
  */
 record ProxyConfig(long seed, int me, int balancers, String listen, String discovery, int memoryMb,
         int sockets) {
--- a/src/main/java/dewstage/scale/TestBed.java
+++ b/src/main/java/dewstage/scale/TestBed.java
@@ -31,17 +31,17 @@
     }
 
     /** The action of a step; it returns once the new version has been sent. */
-    interface Sending {
-        void send() throws IOException;
+    interface StepAction {
+        void execute() throws IOException;
     }
 
     /** Runs a step and measures it until all proxies have applied the version or the wait times out. */
-    Sample measure(String step, long version, long changed, Sending sending)
+    Sample measure(String step, long version, long changed, StepAction action)
             throws IOException, InterruptedException {
         DiscoveryStandIn.Counts before = discovery.counts();
         long cpuBeforeNs = hollowProxies.cpuNs();
         Propagation propagation = hollowProxies.trackPropagation(version);
-        sending.send();
+        action.execute();
         run.deadline().await(propagation.remaining(), PROPAGATION_TIMEOUT_NS);
         long cpuNs = hollowProxies.cpuNs() - cpuBeforeNs;
         return new Sample(step, point, round, changed, discovery.counts().since(before), cpuNs,
@@ -72,7 +72,7 @@
         return sum;
     }
 
-        void pause(double seconds) throws InterruptedException {
+    void pause(double seconds) throws InterruptedException {
         run.deadline().sleep((long) (seconds * NS_PER_S));
     }
 
--- a/src/main/java/dewstage/scale/VirtualHost.java
+++ b/src/main/java/dewstage/scale/VirtualHost.java
@@ -55,7 +55,7 @@
     private final Map<Integer, Integer> inFlightByServer = new HashMap<>();
     private final Set<Integer> usedServers = new HashSet<>();
     private ResponseRule responseRule = ResponseRule.SERVED;
-    private long now = START_NS;
+    private long nowNs = START_NS;
     private long nextSequence;
     private long sendCount;
     private long digest;
@@ -67,11 +67,11 @@
         this.settings = settings;
         this.stopwatch = stopwatch;
         this.random = new SplittableRandom(seed);
-        this.module = factory.create(settings, seed, now, this);
+        this.module = factory.create(settings, seed, nowNs, this);
     }
 
-    long now() {
-        return now;
+    long nowNs() {
+        return nowNs;
     }
 
     /** Sets the rule for the responses to later attempts. */
@@ -80,19 +80,19 @@
     }
 
     void applyMembers(ListKind kind, List<Member> members) {
-        measure(Call.MEMBERS, () -> module.onMembers(now, kind, 1, members));
+        measure(Call.MEMBERS, () -> module.onMembers(nowNs, kind, 1, members));
     }
 
     /** Delivers the given number of requests, each after all events that are due before it. */
     void runRequests(int count) {
         for (int i = 0; i < count; i++) {
-            long arrivalNs = now + REQUEST_INTERVAL_NS;
+            long arrivalNs = nowNs + REQUEST_INTERVAL_NS;
             while (!scheduledEvents.isEmpty() && scheduledEvents.peek().atNs() <= arrivalNs) {
                 ScheduledEvent next = scheduledEvents.poll();
-                now = next.atNs();
+                nowNs = next.atNs();
                 next.action().run();
             }
-            now = arrivalNs;
+            nowNs = arrivalNs;
             deliverRequest();
         }
     }
@@ -104,14 +104,14 @@
         Request request = new Request(ticket, profile, 0, 0, settings.profiles().get(profile).giveUpNs(), 0,
                 false);
         attemptsByTicket.put(ticket, 0);
-        measure(Call.REQUEST, () -> module.onRequest(now, request));
+        measure(Call.REQUEST, () -> module.onRequest(nowNs, request));
     }
 
-    private void measure(Call call, Runnable work) {
+    private void measure(Call call, Runnable moduleCall) {
         long startNs = stopwatch.getAsLong();
-        work.run();
-        long tookNs = stopwatch.getAsLong() - startNs;
-        costsNs.merge(call, tookNs, Long::sum);
+        moduleCall.run();
+        long costNs = stopwatch.getAsLong() - startNs;
+        costsNs.merge(call, costNs, Long::sum);
         callCounts.merge(call, 1L, Long::sum);
     }
 
@@ -158,7 +158,7 @@
     }
 
     private void schedule(long atNs, Runnable action) {
-        scheduledEvents.add(new ScheduledEvent(Math.max(now, atNs), nextSequence++, action));
+        scheduledEvents.add(new ScheduledEvent(Math.max(nowNs, atNs), nextSequence++, action));
     }
 
     @Override
@@ -170,8 +170,8 @@
         Status status = responseRule.statusOf(server, ++sendCount);
         long durationNs = (long) ((status == Status.OK ? SERVED_NS : FAILED_NS)
                 * (0.5 + random.nextDouble()));
-        long sentAtNs = now;
-        schedule(now + durationNs, () -> deliverOutcome(ticket, attempt, server, status, now - sentAtNs));
+        long sentAtNs = nowNs;
+        schedule(nowNs + durationNs, () -> deliverOutcome(ticket, attempt, server, status, nowNs - sentAtNs));
     }
 
     private void deliverOutcome(int ticket, int attempt, int server, Status status, long elapsedNs) {
@@ -183,7 +183,7 @@
                 Double.NaN, Double.NaN, Double.NaN);
         Outcome outcome = new Outcome(ticket, attempt, server, status, elapsedNs, isFinished,
                 status == Status.CONNECT_FAILED ? null : report);
-        measure(Call.OUTCOME, () -> module.onOutcome(now, outcome));
+        measure(Call.OUTCOME, () -> module.onOutcome(nowNs, outcome));
     }
 
     @Override
@@ -208,7 +208,7 @@
 
     @Override
     public void timer(long at, long token) {
-        schedule(at, () -> measure(Call.TIMER, () -> module.onTimer(now, token)));
+        schedule(at, () -> measure(Call.TIMER, () -> module.onTimer(nowNs, token)));
     }
 
     @Override
--- a/src/test/java/dewstage/scale/DiscoveryStandInTest.java
+++ b/src/test/java/dewstage/scale/DiscoveryStandInTest.java
@@ -136,8 +136,8 @@
             discovery.stopResponding();
             discovery.publish(fleet.changeWeights(1));
             try (HttpCall late = call(WATCH)) {
-                assertTrue(watch.isSilentFor(2500), "longer than the heartbeat interval");
-                assertTrue(late.isSilentFor(1));
+                assertTrue(watch.receivesNothingFor(2500), "longer than the heartbeat interval");
+                assertTrue(late.receivesNothingFor(1));
                 discovery.resumeResponding();
                 assertThrows(SocketException.class, late::status);
             }
--- a/src/test/java/dewstage/scale/HttpCall.java
+++ b/src/test/java/dewstage/scale/HttpCall.java
@@ -64,7 +64,7 @@
     }
 
     /** Returns whether nothing is received for the given time. */
-    boolean isSilentFor(int durationMs) throws IOException {
+    boolean receivesNothingFor(int durationMs) throws IOException {
         socket.setSoTimeout(durationMs);
         try {
             in.mark(1);
--- a/src/test/java/dewstage/scale/ModuleRunTest.java
+++ b/src/test/java/dewstage/scale/ModuleRunTest.java
@@ -30,7 +30,7 @@
     private static VirtualHost warmedUp(ModuleShape shape) {
         VirtualHost host = new VirtualHost(Policy::new, shape.settings(), 3, System::nanoTime);
         host.applyMembers(ListKind.FULL, shape.members());
-        host.runRequests(ModuleRun.WARM_REQUESTS);
+        host.runRequests(ModuleRun.WARM_UP_REQUESTS);
         return host;
     }
 
@@ -48,7 +48,7 @@
         for (VirtualHost host : List.of(small, large)) {
             assertEquals(0, host.rejected());
             // A response takes up to 30 ms: the last 8 requests may still be waiting for theirs.
-            assertTrue(host.served() >= ModuleRun.WARM_REQUESTS - 8, "served " + host.served());
+            assertTrue(host.served() >= ModuleRun.WARM_UP_REQUESTS - 8, "served " + host.served());
         }
         assertTrue(small.usedServerCount() >= 20, "used " + small.usedServerCount());
         assertTrue(large.usedServerCount() <= 2 * small.usedServerCount(),
