--- a/src/main/java/dewstage/benchlink/ConfigParser.java
+++ b/src/main/java/dewstage/benchlink/ConfigParser.java
@@ -27,7 +27,9 @@
         for (String line : text.split("\n")) {
             int separator = line.indexOf('=');
             if (separator > 0) {
-                values.put(line.substring(0, separator).trim(), line.substring(separator + 1).trim());
+                values.put(
+                        line.substring(0, separator).trim(),
+                        line.substring(separator + 1).trim());
             }
         }
         return parse(values);
--- a/src/main/java/dewstage/benchlink/Host.java
+++ b/src/main/java/dewstage/benchlink/Host.java
@@ -132,11 +132,7 @@
                                 (flags & 2) != 0));
             }
             case 4 -> module.onStreamBegun(
-                    now,
-                    batch.i32(offset + 5),
-                    batch.u16(offset + 9),
-                    batch.i32(offset + 11),
-                    batch.i64(offset + 15));
+                    now, batch.i32(offset + 5), batch.u16(offset + 9), batch.i32(offset + 11), batch.i64(offset + 15));
             case 5 -> module.onOutcome(
                     now,
                     new Outcome(
--- a/src/main/java/dewstage/benchlink/Reply.java
+++ b/src/main/java/dewstage/benchlink/Reply.java
@@ -21,7 +21,10 @@
         return new Balancer.Actions() {
             @Override
             public void send(int ticket, int server, long timeoutNs) {
-                padRecord(beginRecord(65, instanceId).putInt(ticket).putInt(server).putLong(timeoutNs));
+                padRecord(beginRecord(65, instanceId)
+                        .putInt(ticket)
+                        .putInt(server)
+                        .putLong(timeoutNs));
             }
 
             @Override
--- a/src/test/java/dewstage/benchlink/HostTest.java
+++ b/src/test/java/dewstage/benchlink/HostTest.java
@@ -285,9 +285,7 @@
                 "tail reference of 44 bytes at 0 exceeds the tail of 4 bytes",
                 frame("00000000", "0b00000000000002000000" + "00".repeat(37)));
         assertRejected(
-                "unknown outcome 9",
-                start(CONFIG),
-                frame("", OUTCOME_EVENT.replace("074a12030100", "074a12030900")));
+                "unknown outcome 9", start(CONFIG), frame("", OUTCOME_EVENT.replace("074a12030100", "074a12030900")));
         assertRejected(
                 "load report has 7 values, maximum is 4",
                 start(CONFIG),
