--- a/src/test/java/dewstage/CallPauseTest.java
+++ b/src/test/java/dewstage/CallPauseTest.java
@@ -7,32 +7,37 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How long the module waits for its next call to discovery, however many have failed. */
+/** Tests the delay between a failed call to discovery and the next one. */
 class CallPauseTest {
-    /** 6 s after discovery can be reached what it has counts as told, and the call before may have hung. */
+    /**
+     * List changes count as received 6 s after discovery can be reached again, and the previous call may have
+     * stalled for part of that time. So a proxy calls again soon, whatever the number of proxies and of
+     * failures, and the proxies do not all call at the same time.
+     */
     @ParameterizedTest
     @CsvSource({"1, 4000", "30, 10000", "100, 10000", "100, 60000", "1000, 600000"})
-    void aFailedCallIsRepeatedWithinTwoAndAHalfSeconds(int balancers, long askWithinMs) {
-        int[] calls = new int[25]; // in each tenth of a second after the failure
+    void failedCallIsRepeatedWithinTwoAndAHalfSeconds(int balancers, long askWithinMs) {
+        int[] calls = new int[25]; // in each 100 ms after the failure
         for (int i = 0; i < 100; i++) {
-            Balancer.Settings s = Rig.settings(i, balancers, true, Rig.SAFE);
-            Rig r = new Rig(new Balancer.Settings(i, balancers, 0, s.profiles(), true, true, 4,
-                    s.maxRetryAfterNs(), s.startCapacity(), s.coldNs(), s.tipMultiple(), s.fallNs(),
-                    askWithinMs * Rig.MS, s.stepNs(), s.crossZonePrice(), false, 0, s.connectTimeoutNs()),
+            Balancer.Settings defaults = Rig.settings(i, balancers, true, Rig.IDEMPOTENT_PROFILE);
+            Rig rig = new Rig(new Balancer.Settings(i, balancers, 0, defaults.profiles(), true, true, 4,
+                    defaults.maxRetryAfterNs(), defaults.startCapacity(), defaults.coldNs(),
+                    defaults.tipMultiple(), defaults.fallNs(), askWithinMs * Rig.MS, defaults.stepNs(),
+                    defaults.crossZonePrice(), false, 0, defaults.connectTimeoutNs()),
                     i + 1);
             for (int failures = 0; failures < 8; failures++) {
-                r.actions.clear();
-                r.list(ListKind.FAILED);
-                int tenth = 0;
-                while (!r.pass(100).actions.contains("subscribe true")) {
-                    tenth++;
-                    assertTrue(tenth < calls.length, "not called 2.5 s after failure " + (failures + 1));
+                rig.actions.clear();
+                rig.updateMembers(ListKind.FAILED);
+                int interval = 0;
+                while (!rig.advance(100).actions.contains("subscribe true")) {
+                    interval++;
+                    assertTrue(interval < calls.length, "not called 2.5 s after failure " + (failures + 1));
                 }
-                calls[tenth] += failures == 7 ? 1 : 0;
+                calls[interval] += failures == 7 ? 1 : 0;
             }
         }
-        for (int n : calls) {
-            assertTrue(n <= 25, "in step: " + Arrays.toString(calls));
+        for (int count : calls) {
+            assertTrue(count <= 25, "simultaneous calls: " + Arrays.toString(calls));
         }
     }
 }
--- a/src/test/java/dewstage/ColdFleetTest.java
+++ b/src/test/java/dewstage/ColdFleetTest.java
@@ -6,34 +6,35 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A cold server falls under the sum of what all proxies send it, so the ramp has to hold for the fleet. What
- * reaches it in any span of the settings' length stays under its budget of N requests and 2 roots of N + 2.
+ * Tests that all proxies together do not overload a cold server: its load is the sum of what each of them
+ * sends. In any window of fallNs a server with a budget of N requests receives at most N + 2 * sqrt(N) + 2.
  */
 class ColdFleetTest {
     private static final int SEEDS = 3;
 
-    /** One server starts, or a third of all, or all, and with it all proxies or none. */
+    /** One server, a third of the servers or all of them start, with or without a restart of all proxies. */
     @ParameterizedTest
     @CsvSource({
         "20, 40, 8, 0.12, 0.9", "30, 60, 8, 0.31, 0.9", "30, 6, 8, 0.12, 1.5",
         "30, 60, 60, 0.12, 0.5", "100, 6, 8, 0.12, 1.5",
         "100, 200, 8, 0.12, 0.9", "100, 25, 8, 0.12, 1.5", "100, 25, 60, 0.31, 0.9", "100, 25, 3, 0.12, 1.5"})
-    void noColdServerIsSentMoreThanItsBudgetByAllProxiesTogether(int proxies, int servers, double perSecond,
-            double startCapacity, double load) {
-        FleetRig.Site site = new FleetRig.Site(proxies, servers, perSecond, load, startCapacity, 9e9, 3, 2e9);
+    void allProxiesTogetherStayWithinTheBudgetOfAColdServer(int proxies, int servers,
+            double requestsPerSecond, double startCapacity, double load) {
+        FleetRig.Deployment deployment = new FleetRig.Deployment(proxies, servers, requestsPerSecond, load,
+                startCapacity, 9e9, 3, 2e9);
         for (int seed = 0; seed < SEEDS; seed++) {
-            for (int first : new int[] {servers - 1, servers * 2 / 3, 0}) {
-                for (boolean restart : new boolean[] {false, true}) {
-                    FleetRig fleet = new FleetRig(site, seed);
-                    fleet.pass(5);
-                    fleet.boot(first, servers);
-                    if (restart) {
-                        fleet.restart();
+            for (int firstStarted : new int[] {servers - 1, servers * 2 / 3, 0}) {
+                for (boolean restartProxies : new boolean[] {false, true}) {
+                    FleetRig fleet = new FleetRig(deployment, seed);
+                    fleet.advance(5);
+                    fleet.startServers(firstStarted, servers);
+                    if (restartProxies) {
+                        fleet.restartProxies();
                     }
-                    fleet.pass(6);
-                    double worst = fleet.worst(servers - 1);
-                    assertTrue(worst <= 1, "sent " + worst + " of what is allowed, seed " + seed
-                            + ", from " + first + ", restart " + restart);
+                    fleet.advance(6);
+                    double budgetFraction = fleet.maxBudgetFraction(servers - 1);
+                    assertTrue(budgetFraction <= 1, "sent " + budgetFraction + " of the budget, seed " + seed
+                            + ", from " + firstStarted + ", restart " + restartProxies);
                 }
             }
         }
--- a/src/test/java/dewstage/FleetRig.java
+++ b/src/test/java/dewstage/FleetRig.java
@@ -21,138 +21,150 @@
 import java.util.SplittableRandom;
 
 /**
- * Many instances of the module before servers that work off what they get one after the other, on one virtual
- * clock. Clients come at random; one proxy in ten gets several times what the others get.
+ * Simulates a fleet on one virtual clock: many instances of the decision module, and servers that process one
+ * request at a time. Requests arrive at random; one proxy in ten receives a multiple of the mean load.
  */
 final class FleetRig {
-    static final double S = 1e9;
-    private static final double HOT = 4, HOT_SHARE = 0.1, UTIL_NS = 0.5e9;
-
-    /** What a deployment's settings say of cold servers, and what a warm server can do in a second. */
-    record Site(int proxies, int servers, double perSecond, double load, double startCapacity, double coldNs,
-            double tipMultiple, double fallNs) {
+    static final double SECOND_NS = 1e9;
+    /** Load of a hot proxy, as a multiple of the mean. */
+    private static final double HOT_PROXY_LOAD = 4;
+    private static final double HOT_PROXY_FRACTION = 0.1;
+    /** Time constant of the reported utilization. */
+    private static final double UTILIZATION_WINDOW_NS = 0.5e9;
+
+    /** Size and load of the fleet, throughput of a warm server, and the settings for cold servers. */
+    record Deployment(int proxyCount, int serverCount, double requestsPerSecond, double load,
+            double startCapacity, double coldNs, double tipMultiple, double fallNs) {
+        /** Returns the fraction of its capacity that a server of this age has. */
         double warmth(double ageNs) {
             return ageNs >= coldNs ? 1 : startCapacity + (1 - startCapacity) * ageNs / coldNs;
         }
 
-        /** The budget that a cold server of an age has within fallNs, and what chance may add to it. */
-        double allowed(double ageNs) {
-            double n = tipMultiple * warmth(ageNs) * perSecond * fallNs / S;
-            return n + 2 * Math.sqrt(n) + 2;
+        /** Returns the budget of a cold server of this age within fallNs, plus an allowance for chance. */
+        double maxRequests(double ageNs) {
+            double expected = tipMultiple * warmth(ageNs) * requestsPerSecond * fallNs / SECOND_NS;
+            return expected + 2 * Math.sqrt(expected) + 2;
         }
     }
 
-    private record Event(long at, long order, Runnable run) implements Comparable<Event> {
+    private record Event(long dueNs, long sequence, Runnable action) implements Comparable<Event> {
         @Override
-        public int compareTo(Event o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
+        public int compareTo(Event other) {
+            return dueNs != other.dueNs ? Long.compare(dueNs, other.dueNs)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
-    private final Site site;
+    private final Deployment deployment;
     private final SplittableRandom random;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final Map<Integer, Backend> backends = new HashMap<>();
-    private final List<Node> nodes = new ArrayList<>();
+    private final List<Proxy> proxies = new ArrayList<>();
     private long now = 1_000_000_000_000L;
-    private long order;
+    private long nextSequence;
 
-    FleetRig(Site site, long seed) {
-        this.site = site;
+    FleetRig(Deployment deployment, long seed) {
+        this.deployment = deployment;
         this.random = new SplittableRandom(seed);
-        for (int i = 0; i < site.servers(); i++) {
+        for (int i = 0; i < deployment.serverCount(); i++) {
             backends.put(i, new Backend(i, 0));
         }
-        for (int i = 0; i < site.proxies(); i++) {
-            nodes.add(new Node(i));
+        for (int i = 0; i < deployment.proxyCount(); i++) {
+            proxies.add(new Proxy(i));
         }
-        nodes.forEach(Node::start);
+        proxies.forEach(Proxy::start);
     }
 
-    private void at(long time, Runnable run) {
-        events.add(new Event(time, order++, run));
+    private void schedule(long dueNs, Runnable action) {
+        events.add(new Event(dueNs, nextSequence++, action));
     }
 
-    void pass(double seconds) {
-        long end = now + (long) (seconds * S);
-        while (!events.isEmpty() && events.peek().at <= end) {
-            Event e = events.poll();
-            now = Math.max(now, e.at);
-            e.run.run();
+    /** Advances the clock and runs the events that are due. */
+    void advance(double seconds) {
+        long endNs = now + (long) (seconds * SECOND_NS);
+        while (!events.isEmpty() && events.peek().dueNs <= endNs) {
+            Event event = events.poll();
+            now = Math.max(now, event.dueNs);
+            event.action.run();
         }
-        now = end;
+        now = endNs;
     }
 
-    /** Servers start at once, new or in place of old ones of their number; all proxies are told. */
-    void boot(int from, int to) {
+    /** Starts the servers of these ids, replacing those that exist, and updates the list of every proxy. */
+    void startServers(int from, int to) {
         for (int i = from; i < to; i++) {
             backends.put(i, new Backend(i, now));
         }
-        nodes.forEach(n -> n.list(ListKind.DELTA));
+        proxies.forEach(proxy -> proxy.updateMembers(ListKind.DELTA));
     }
 
-    /** All proxies start anew, at once. */
-    void restart() {
-        nodes.forEach(Node::restart);
+    /** Restarts all proxies at once. */
+    void restartProxies() {
+        proxies.forEach(Proxy::restart);
     }
 
-    /** Of all windows since a server's start, the most that came over what it may be sent: 1 is all of it. */
-    double worst(int server) {
-        Backend b = backends.get(server);
+    /**
+     * Returns the largest fraction of its budget that a server received in any window of fallNs that began
+     * while it was cold; 1 is the whole budget.
+     */
+    double maxBudgetFraction(int server) {
+        Backend backend = backends.get(server);
         Deque<Long> window = new ArrayDeque<>();
-        double worst = 0;
-        for (long t : b.got) {
-            window.addLast(t);
-            while (t - window.peekFirst() > site.fallNs()) {
+        double maxFraction = 0;
+        for (long arrivalNs : backend.arrivalTimes) {
+            window.addLast(arrivalNs);
+            while (arrivalNs - window.peekFirst() > deployment.fallNs()) {
                 window.removeFirst();
             }
-            double age = window.peekFirst() - b.bootNs;
-            if (age < site.coldNs()) {
-                worst = Math.max(worst, window.size() / site.allowed(age));
+            double ageNs = window.peekFirst() - backend.bootNs;
+            if (ageNs < deployment.coldNs()) {
+                maxFraction = Math.max(maxFraction, window.size() / deployment.maxRequests(ageNs));
             }
         }
-        return worst;
+        return maxFraction;
     }
 
-    int got(int server, double seconds) {
-        Backend b = backends.get(server);
-        return (int) b.got.stream().filter(t -> t - b.bootNs <= seconds * S).count();
+    /** Returns how many requests a server received within this time of its start. */
+    int requestsReceived(int server, double seconds) {
+        Backend backend = backends.get(server);
+        return (int) backend.arrivalTimes.stream()
+                .filter(arrivalNs -> arrivalNs - backend.bootNs <= seconds * SECOND_NS).count();
     }
 
-    /** Works off one request after the other, slower while cold. */
+    /** A server that processes one request at a time, more slowly while cold. */
     private final class Backend {
         final int id;
         final long bootNs;
-        final List<Long> got = new ArrayList<>();
-        long freeAt;
-        int held;
-        double util;
-        long utilAt;
+        final List<Long> arrivalTimes = new ArrayList<>();
+        long idleAtNs;
+        int inFlight;
+        double utilization;
+        long utilizationAtNs;
 
         Backend(int id, long bootNs) {
             this.id = id;
             this.bootNs = bootNs;
         }
 
-        double age() {
-            return bootNs == 0 ? site.coldNs() : now - bootNs;
+        double ageNs() {
+            return bootNs == 0 ? deployment.coldNs() : now - bootNs;
         }
 
-        /** Takes a request; returns when its answer is due. */
-        long take() {
-            got.add(now);
-            held++;
-            long service = (long) (S / site.perSecond() / site.warmth(age())
-                    * (0.5 + random.nextDouble()));
-            freeAt = Math.max(now, freeAt) + service;
-            return freeAt;
+        /** Accepts a request and returns the time of its answer. */
+        long accept() {
+            arrivalTimes.add(now);
+            inFlight++;
+            long serviceTimeNs = (long) (SECOND_NS / deployment.requestsPerSecond()
+                    / deployment.warmth(ageNs()) * (0.5 + random.nextDouble()));
+            idleAtNs = Math.max(now, idleAtNs) + serviceTimeNs;
+            return idleAtNs;
         }
 
         Report report() {
-            double keep = Math.exp((utilAt - now) / UTIL_NS);
-            util = keep * util + (1 - keep) * (held > 0 ? 1 : 0);
-            utilAt = now;
-            return new Report(held, Double.NaN, util, Double.NaN, Double.NaN, Double.NaN);
+            double retained = Math.exp((utilizationAtNs - now) / UTILIZATION_WINDOW_NS);
+            utilization = retained * utilization + (1 - retained) * (inFlight > 0 ? 1 : 0);
+            utilizationAtNs = now;
+            return new Report(inFlight, Double.NaN, utilization, Double.NaN, Double.NaN, Double.NaN);
         }
 
         Member member() {
@@ -160,76 +172,81 @@
         }
     }
 
-    /** One proxy. */
-    private final class Node extends IgnoredActions {
+    /** A proxy with its load of requests. */
+    private final class Proxy extends IgnoredActions {
         private final int me;
         private final Settings settings;
-        private final double gapNs;
+        private final double meanGapNs;
         private Balancer policy;
-        private int life;
-        private int tickets;
-        private final Map<Integer, Integer> attempts = new HashMap<>();
+        /** Number of starts: events of an earlier instance of the module are dropped. */
+        private int incarnation;
+        private int lastTicket;
+        private final Map<Integer, Integer> attemptsByTicket = new HashMap<>();
 
-        Node(int me) {
+        Proxy(int me) {
             this.me = me;
-            long promise = (long) (8 / site.perSecond() * S);
-            this.settings = new Settings(me, site.proxies(), 0,
-                    List.of(new Profile(Effect.IDEMPOTENT, Scope.ALL, 0, promise, 3 * promise, 5, 0.3, false,
-                            false)), false, true, 4, (long) S, site.startCapacity(), (long) site.coldNs(),
-                    site.tipMultiple(), (long) site.fallNs(), 0, 5_000_000L, 0.1, false, 0, 60_000_000L);
-            double mean = site.load() * site.servers() * site.perSecond() / site.proxies();
-            double share = me < site.proxies() * HOT_SHARE ? HOT : (1 - HOT * HOT_SHARE) / (1 - HOT_SHARE);
-            this.gapNs = S / (mean * share);
+            long promiseNs = (long) (8 / deployment.requestsPerSecond() * SECOND_NS);
+            this.settings = new Settings(me, deployment.proxyCount(), 0,
+                    List.of(new Profile(Effect.IDEMPOTENT, Scope.ALL, 0, promiseNs, 3 * promiseNs, 5, 0.3,
+                            false, false)), false, true, 4, (long) SECOND_NS, deployment.startCapacity(),
+                    (long) deployment.coldNs(), deployment.tipMultiple(), (long) deployment.fallNs(), 0,
+                    5_000_000L, 0.1, false, 0, 60_000_000L);
+            double meanRate = deployment.load() * deployment.serverCount() * deployment.requestsPerSecond()
+                    / deployment.proxyCount();
+            double relativeLoad = me < deployment.proxyCount() * HOT_PROXY_FRACTION ? HOT_PROXY_LOAD
+                    : (1 - HOT_PROXY_LOAD * HOT_PROXY_FRACTION) / (1 - HOT_PROXY_FRACTION);
+            this.meanGapNs = SECOND_NS / (meanRate * relativeLoad);
         }
 
         void start() {
             restart();
-            at(now + gap(), this::arrive);
+            schedule(now + nextGapNs(), this::submitRequest);
         }
 
         void restart() {
-            life++;
+            incarnation++;
             policy = new Policy(settings, random.nextLong(), now, this);
-            list(ListKind.FULL);
+            updateMembers(ListKind.FULL);
         }
 
-        void list(ListKind kind) {
+        void updateMembers(ListKind kind) {
             policy.onMembers(now, kind, 1, backends.values().stream().map(Backend::member).toList());
         }
 
-        private long gap() {
-            return (long) (-Math.log(1 - random.nextDouble()) * gapNs);
+        private long nextGapNs() {
+            return (long) (-Math.log(1 - random.nextDouble()) * meanGapNs);
         }
 
-        private void arrive() {
-            int t = ++tickets;
-            policy.onRequest(now, new Request(t, 0, 0, 0, settings.profiles().get(0).giveUpNs(), 0, false));
-            at(now + gap(), this::arrive);
+        private void submitRequest() {
+            int newTicket = ++lastTicket;
+            policy.onRequest(now, new Request(newTicket, 0, 0, 0, settings.profiles().get(0).giveUpNs(), 0,
+                    false));
+            schedule(now + nextGapNs(), this::submitRequest);
         }
 
         @Override
         public void send(int ticket, int server, long timeoutNs) {
-            int attempt = attempts.merge(ticket, 1, Integer::sum) - 1;
-            Backend b = backends.get(server);
-            long begun = now;
-            int of = life;
-            long due = b.take();
-            long most = timeoutNs > 0 ? now + timeoutNs : Long.MAX_VALUE;
-            at(due, () -> b.held--);
-            at(Math.min(due, most), () -> {
-                if (of == life) {
+            int attempt = attemptsByTicket.merge(ticket, 1, Integer::sum) - 1;
+            Backend backend = backends.get(server);
+            long sentAtNs = now;
+            int incarnationAtSend = incarnation;
+            long answerNs = backend.accept();
+            long timeoutAtNs = timeoutNs > 0 ? now + timeoutNs : Long.MAX_VALUE;
+            schedule(answerNs, () -> backend.inFlight--);
+            schedule(Math.min(answerNs, timeoutAtNs), () -> {
+                if (incarnationAtSend == incarnation) {
                     policy.onOutcome(now, new Outcome(ticket, attempt, server,
-                            due <= most ? Status.OK : Status.TIMEOUT, now - begun, due <= most,
-                            due <= most ? b.report() : null));
+                            answerNs <= timeoutAtNs ? Status.OK : Status.TIMEOUT, now - sentAtNs,
+                            answerNs <= timeoutAtNs, answerNs <= timeoutAtNs ? backend.report() : null));
                 }
             });
         }
 
         @Override
-        public void timer(long time, long token) {
-            int of = life;
-            at(Math.max(now, time), () -> {
-                if (of == life) {
+        public void timer(long dueNs, long token) {
+            int incarnationAtStart = incarnation;
+            schedule(Math.max(now, dueNs), () -> {
+                if (incarnationAtStart == incarnation) {
                     policy.onTimer(now, token);
                 }
             });
--- a/src/test/java/dewstage/IgnoredActions.java
+++ b/src/test/java/dewstage/IgnoredActions.java
@@ -1,6 +1,6 @@
 package dewstage;
 
-/** Actions of which a test overrides those that it looks at. */
+/** Ignores every action except {@code send} and {@code timer}; a test overrides those it checks. */
 abstract class IgnoredActions implements Balancer.Actions {
     @Override
     public void refuse(int ticket, long retryInNs) { }
--- a/src/test/java/dewstage/IntMapTest.java
+++ b/src/test/java/dewstage/IntMapTest.java
@@ -7,26 +7,26 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The map against the standard one. */
+/** Compares {@link IntMap} with {@link HashMap} under random operations. */
 class IntMapTest {
     @Test
-    void behavesLikeAMapThroughGrowthAndRemoval() {
+    void randomOperationsGiveTheSameContentsAsAHashMap() {
         IntMap<Integer> map = new IntMap<>();
-        Map<Integer, Integer> model = new HashMap<>();
+        Map<Integer, Integer> expected = new HashMap<>();
         Random random = new Random(3);
         for (int i = 0; i < 20_000; i++) {
             int key = random.nextInt(600) * (random.nextBoolean() ? 1 : -7919);
             if (random.nextInt(3) == 0) {
                 map.remove(key);
-                model.remove(key);
+                expected.remove(key);
             } else {
                 map.put(key, i);
-                model.put(key, i);
+                expected.put(key, i);
             }
-            int probe = random.nextInt(600);
-            assertEquals(model.get(probe), map.get(probe));
+            int lookedUpKey = random.nextInt(600);
+            assertEquals(expected.get(lookedUpKey), map.get(lookedUpKey));
         }
-        assertEquals(model.size(), map.size());
-        model.forEach((k, v) -> assertEquals(v, map.get(k)));
+        assertEquals(expected.size(), map.size());
+        expected.forEach((expectedKey, value) -> assertEquals(value, map.get(expectedKey)));
     }
 }
--- a/src/test/java/dewstage/MainTest.java
+++ b/src/test/java/dewstage/MainTest.java
@@ -6,20 +6,20 @@
 import java.io.InputStream;
 import org.junit.jupiter.api.Test;
 
-/** Exit codes of the command line. */
+/** Tests the exit codes of the command line. */
 class MainTest {
     private static int drill(byte... input) {
-        InputStream in = System.in;
+        InputStream original = System.in;
         try {
             System.setIn(new ByteArrayInputStream(input));
             return Main.run(new String[] {"drill"});
         } finally {
-            System.setIn(in);
+            System.setIn(original);
         }
     }
 
     @Test
-    void aWrongCommandLineIsUsage() {
+    void invalidCommandLineExitsWith2() {
         assertEquals(2, Main.run(new String[] {}));
         assertEquals(2, Main.run(new String[] {"serve", "more"}));
         assertEquals(2, Main.run(new String[] {"drill", "more"}));
@@ -28,17 +28,17 @@
     }
 
     @Test
-    void toServeWithNoConfigurationIsAnError() {
+    void serveWithoutAConfigurationExitsWith1() {
         assertEquals(1, Main.run(new String[] {"serve"}));
     }
 
     @Test
-    void inputThatEndsBetweenFramesIsTheEnd() {
+    void inputThatEndsBetweenFramesExitsWith0() {
         assertEquals(0, drill());
     }
 
     @Test
-    void aTruncatedFrameIsAnError() {
+    void truncatedFrameExitsWith1() {
         assertEquals(1, drill((byte) 1, (byte) 2));
     }
 }
--- a/src/test/java/dewstage/OrderTest.java
+++ b/src/test/java/dewstage/OrderTest.java
@@ -9,157 +9,165 @@
 import dewstage.Balancer.Status;
 import org.junit.jupiter.api.Test;
 
-/** The rules that hold at some deployments only: order by key, and 'full' as no proof. */
+/**
+ * Tests the optional guarantees: requests of a sequential class run in order of their key, and FULL does not
+ * prove that an attempt never ran.
+ */
 class OrderTest {
-    private static Rig strict(Profile... profiles) {
-        return new Rig(Rig.strict(profiles)).list(ListKind.FULL, Rig.ready(6));
+    private static Rig newStrictRig(Profile... profiles) {
+        return new Rig(Rig.strictSettings(profiles)).updateMembers(ListKind.FULL, Rig.readyMembers(6));
     }
 
-    // ---- 'full' is no proof ----
+    // ---- FULL does not prove that an attempt never ran ----
 
     @Test
-    void whereFullIsNoProofAnAtMostOnceRequestIsFailedAfterIt() {
-        Rig r = strict(Rig.ONCE);
-        int t = r.request();
-        r.pass(5).done(t, 0, Status.FULL, 5, null);
-        assertEquals(1, r.attempts(t));
-        assertEquals("failed", r.answers.get(t));
+    void atMostOnceRequestIsFailedAfterFullWhereFullIsNoProof() {
+        Rig rig = newStrictRig(Rig.AT_MOST_ONCE_PROFILE);
+        int ticket = rig.request();
+        rig.advance(5).complete(ticket, 0, Status.FULL, 5, null);
+        assertEquals(1, rig.attemptCount(ticket));
+        assertEquals("failed", rig.answers.get(ticket));
     }
 
     @Test
-    void whereFullIsNoProofAKeyedRequestStaysInItsGroupAfterIt() {
-        Rig r = new Rig(Rig.strict(Rig.KEYED_ZONE)).list(ListKind.FULL, Rig.member(1, 0, State.READY),
-                Rig.member(2, 1, State.READY), Rig.member(3, 1, State.READY));
-        int t = r.request();
-        assertEquals(1, r.server(t, 0));
-        r.pass(5).done(t, 0, Status.FULL, 5, null);
-        assertEquals(1, r.attempts(t), "no other server of its zone");
-        assertEquals("failed", r.answers.get(t));
+    void deduplicatedRequestStaysInItsZoneAfterFullWhereFullIsNoProof() {
+        Rig rig = new Rig(Rig.strictSettings(Rig.ZONE_DEDUPLICATED_PROFILE))
+                .updateMembers(ListKind.FULL, Rig.member(1, 0, State.READY),
+                        Rig.member(2, 1, State.READY), Rig.member(3, 1, State.READY));
+        int ticket = rig.request();
+        assertEquals(1, rig.server(ticket, 0));
+        rig.advance(5).complete(ticket, 0, Status.FULL, 5, null);
+        assertEquals(1, rig.attemptCount(ticket), "no other server of its zone");
+        assertEquals("failed", rig.answers.get(ticket));
     }
 
     @Test
-    void whereFullIsNoProofAConnectionNeverMadeStillIs() {
-        Rig r = strict(Rig.ONCE);
-        int t = r.request();
-        r.pass(5).done(t, 0, Status.CONNECT_FAILED, 5, null);
-        assertEquals(2, r.attempts(t));
+    void atMostOnceRequestIsRetriedAfterAConnectFailureWhereFullIsNoProof() {
+        Rig rig = newStrictRig(Rig.AT_MOST_ONCE_PROFILE);
+        int ticket = rig.request();
+        rig.advance(5).complete(ticket, 0, Status.CONNECT_FAILED, 5, null);
+        assertEquals(2, rig.attemptCount(ticket));
     }
 
     @Test
-    void whereFullIsProofAnAtMostOnceRequestGoesElsewhereAfterIt() {
-        Rig r = new Rig(Rig.settings(false, Rig.ONCE)).list(ListKind.FULL, Rig.ready(6));
-        int t = r.request();
-        r.pass(5).done(t, 0, Status.FULL, 5, null);
-        assertEquals(2, r.attempts(t));
+    void atMostOnceRequestIsRetriedAfterFullWhereFullIsProof() {
+        Rig rig = new Rig(Rig.settings(false, Rig.AT_MOST_ONCE_PROFILE))
+                .updateMembers(ListKind.FULL, Rig.readyMembers(6));
+        int ticket = rig.request();
+        rig.advance(5).complete(ticket, 0, Status.FULL, 5, null);
+        assertEquals(2, rig.attemptCount(ticket));
     }
 
-    // ---- order ----
+    // ---- order of the requests of a key ----
 
     @Test
     void requestsOfOneKeyRunOneAtATimeAcrossSequentialClasses() {
-        Rig r = strict(Rig.ONCE_IN_TURN, Rig.SAFE_IN_TURN, Rig.SAFE);
-        int first = r.request(0, 1000, 42);
-        int second = r.request(1, 1000, 42);
-        int third = r.request(0, 1000, 42);
-        int free = r.request(2, 1000, 42);
-        assertEquals(1, r.attempts(first));
-        assertEquals(0, r.attempts(second) + r.attempts(third));
-        assertEquals(1, r.attempts(free), "a class that is not sequential");
-        r.pass(20).ok(first, 20);
-        assertEquals(1, r.attempts(second));
-        assertEquals(0, r.attempts(third));
-        r.pass(20).ok(second, 20);
-        assertEquals(1, r.attempts(third));
+        Rig rig = newStrictRig(Rig.SEQUENTIAL_AT_MOST_ONCE_PROFILE, Rig.SEQUENTIAL_IDEMPOTENT_PROFILE,
+                Rig.IDEMPOTENT_PROFILE);
+        int first = rig.request(0, 1000, 42);
+        int second = rig.request(1, 1000, 42);
+        int third = rig.request(0, 1000, 42);
+        int notSequential = rig.request(2, 1000, 42);
+        assertEquals(1, rig.attemptCount(first));
+        assertEquals(0, rig.attemptCount(second) + rig.attemptCount(third));
+        assertEquals(1, rig.attemptCount(notSequential), "a class that is not sequential");
+        rig.advance(20).completeOk(first, 20);
+        assertEquals(1, rig.attemptCount(second));
+        assertEquals(0, rig.attemptCount(third));
+        rig.advance(20).completeOk(second, 20);
+        assertEquals(1, rig.attemptCount(third));
     }
 
     @Test
-    void otherKeysAndNoKeyRunAtOnce() {
-        Rig r = strict(Rig.ONCE_IN_TURN);
-        int[] tickets = {r.request(0, 1000, 1), r.request(0, 1000, 2), r.request(), r.request()};
-        for (int t : tickets) {
-            assertEquals(1, r.attempts(t));
+    void requestsOfOtherKeysAndWithoutAKeyRunConcurrently() {
+        Rig rig = newStrictRig(Rig.SEQUENTIAL_AT_MOST_ONCE_PROFILE);
+        int[] tickets = {rig.request(0, 1000, 1), rig.request(0, 1000, 2), rig.request(), rig.request()};
+        for (int ticket : tickets) {
+            assertEquals(1, rig.attemptCount(ticket));
         }
     }
 
     @Test
-    void whereNoClassIsSequentialKeysBindNothing() {
-        Rig r = strict(Rig.ONCE);
-        assertEquals(2, r.attempts(r.request(0, 1000, 42)) + r.attempts(r.request(0, 1000, 42)));
+    void keysDoNotDelayRequestsOfAClassThatIsNotSequential() {
+        Rig rig = newStrictRig(Rig.AT_MOST_ONCE_PROFILE);
+        assertEquals(2, rig.attemptCount(rig.request(0, 1000, 42))
+                + rig.attemptCount(rig.request(0, 1000, 42)));
     }
 
     @Test
-    void aKeyRestsAfterAnAttemptThatMayStillRun() {
+    void keyCoolsDownAfterAnAttemptThatMayStillBeRunning() {
         for (Status status : new Status[] {Status.TIMEOUT, Status.RESET, Status.CANCELLED}) {
-            Rig r = strict(Rig.ONCE_IN_TURN);
-            int first = r.request(0, 900, 42);
-            int second = r.request(0, 2000, 42);
-            r.pass(10).done(first, 0, status, 10, null);
-            assertEquals("failed", r.answers.get(first));
-            int third = r.request(0, 2000, 42);
-            r.pass(280);
-            assertEquals(0, r.attempts(second) + r.attempts(third), status + ": the key rests");
+            Rig rig = newStrictRig(Rig.SEQUENTIAL_AT_MOST_ONCE_PROFILE);
+            int first = rig.request(0, 900, 42);
+            int second = rig.request(0, 2000, 42);
+            rig.advance(10).complete(first, 0, status, 10, null);
+            assertEquals("failed", rig.answers.get(first));
+            int third = rig.request(0, 2000, 42);
+            rig.advance(280);
+            assertEquals(0, rig.attemptCount(second) + rig.attemptCount(third),
+                    status + ": sent during the cool-down");
         }
     }
 
     @Test
-    void afterTheRestTheNextOfTheKeyRuns() {
-        Rig r = strict(Rig.ONCE_IN_TURN);
-        int first = r.request(0, 900, 42);
-        r.pass(10).done(first, 0, Status.RESET, 10, null);
-        r.pass(200);
-        int second = r.request(0, 900, 42);
-        assertEquals(0, r.attempts(second));
-        r.pass(125);
-        assertEquals(1, r.attempts(second));
+    void nextRequestOfTheKeyRunsAfterTheCoolDown() {
+        Rig rig = newStrictRig(Rig.SEQUENTIAL_AT_MOST_ONCE_PROFILE);
+        int first = rig.request(0, 900, 42);
+        rig.advance(10).complete(first, 0, Status.RESET, 10, null);
+        rig.advance(200);
+        int second = rig.request(0, 900, 42);
+        assertEquals(0, rig.attemptCount(second));
+        rig.advance(125);
+        assertEquals(1, rig.attemptCount(second));
     }
 
     @Test
-    void theRequestThatHasTheTurnMayBeTriedAgainWithoutARest() {
-        Rig r = strict(Rig.SAFE_IN_TURN);
-        int t = r.request(0, 900, 42);
-        r.pass(10).done(t, 0, Status.RESET, 10, null);
-        assertEquals(2, r.attempts(t));
+    void requestAtTheHeadOfItsKeyIsRetriedWithoutACoolDown() {
+        Rig rig = newStrictRig(Rig.SEQUENTIAL_IDEMPOTENT_PROFILE);
+        int ticket = rig.request(0, 900, 42);
+        rig.advance(10).complete(ticket, 0, Status.RESET, 10, null);
+        assertEquals(2, rig.attemptCount(ticket));
     }
 
     @Test
-    void anAttemptStillOutAfterTheClientLeftHoldsTheKey() {
-        Rig r = strict(Rig.ONCE_IN_TURN);
-        int first = r.request(0, 900, 42);
-        int second = r.request(0, 2000, 42);
-        r.rules.onWithdrawn(r.now, first);
-        r.answers.put(first, "left");
-        r.pass(40);
-        assertEquals(0, r.attempts(second));
-        r.done(first, 0, Status.OK, 40, null);
-        assertEquals(1, r.attempts(second));
+    void attemptInFlightAfterWithdrawalBlocksItsKey() {
+        Rig rig = newStrictRig(Rig.SEQUENTIAL_AT_MOST_ONCE_PROFILE);
+        int first = rig.request(0, 900, 42);
+        int second = rig.request(0, 2000, 42);
+        rig.policy.onWithdrawn(rig.now, first);
+        rig.answers.put(first, "left");
+        rig.advance(40);
+        assertEquals(0, rig.attemptCount(second));
+        rig.complete(first, 0, Status.OK, 40, null);
+        assertEquals(1, rig.attemptCount(second));
     }
 
     @Test
-    void aRequestThatCannotMakeItBehindItsKeyIsAnsweredInTimeAndLosesItsPlace() {
-        Rig r = strict(Rig.ONCE_IN_TURN);
-        int first = r.request(0, 2000, 42);
-        int hasty = r.request(0, 90, 42);
-        int third = r.request(0, 2000, 42);
-        r.pass(90);
-        assertEquals("refused", r.answers.get(hasty));
-        r.ok(first, 90);
-        assertEquals(0, r.attempts(hasty));
-        assertEquals(1, r.attempts(third));
+    void requestThatExpiresBehindItsKeyIsRefusedAndSkipped() {
+        Rig rig = newStrictRig(Rig.SEQUENTIAL_AT_MOST_ONCE_PROFILE);
+        int first = rig.request(0, 2000, 42);
+        int shortDeadline = rig.request(0, 90, 42);
+        int third = rig.request(0, 2000, 42);
+        rig.advance(90);
+        assertEquals("refused", rig.answers.get(shortDeadline));
+        rig.completeOk(first, 90);
+        assertEquals(0, rig.attemptCount(shortDeadline));
+        assertEquals(1, rig.attemptCount(third));
     }
 
     @Test
-    void keysThatRestedAreForgotten() throws ReflectiveOperationException {
-        Rig r = strict(Rig.ONCE_IN_TURN);
+    void keysAreRemovedAfterTheirCoolDown() throws ReflectiveOperationException {
+        Rig rig = newStrictRig(Rig.SEQUENTIAL_AT_MOST_ONCE_PROFILE);
         for (int key = 1; key <= 500; key++) {
-            int t = r.request(0, 900, key);
-            if (r.attempts(t) > 0) {
-                r.pass(5).done(t, 0, key % 2 == 0 ? Status.OK : Status.RESET, 5, null);
+            int ticket = rig.request(0, 900, key);
+            if (rig.attemptCount(ticket) > 0) {
+                rig.advance(5).complete(ticket, 0, key % 2 == 0 ? Status.OK : Status.RESET, 5, null);
             }
         }
-        r.pass(400).request(0, 900, 1);
-        var turns = Policy.class.getDeclaredField("turns");
-        turns.setAccessible(true);
-        int size = ((java.util.Map<?, ?>) turns.get(r.rules)).size();
-        assertTrue(size <= 60, size + " keys kept");
+        rig.advance(400).request(0, 900, 1);
+        var turnsField = Policy.class.getDeclaredField("turns");
+        turnsField.setAccessible(true);
+        int size = ((java.util.Map<?, ?>) turnsField.get(rig.policy)).size();
+        assertTrue(size <= 60, size + " keys remain");
     }
 }
--- a/src/test/java/dewstage/PlainWalk.java
+++ b/src/test/java/dewstage/ReferencePolicy.java
@@ -17,7 +17,7 @@
  * The module as it was when every pick, list, ejection and ageing walked all servers:
  * what the indexed one has to agree with.
  */
-final class PlainWalk implements Balancer {
+final class ReferencePolicy implements Balancer {
     private static final long RENEW_NS = 200_000_000L;
 
     private static final double SPARE_GAIN = 0.5;
@@ -116,7 +116,7 @@
     private Profile full;
     private boolean armed;
 
-    PlainWalk(Settings settings, long seed, long now, Actions out) {
+    ReferencePolicy(Settings settings, long seed, long now, Actions out) {
         this.settings = settings;
         this.out = out;
         this.random = new SplittableRandom(seed);
--- a/src/test/java/dewstage/Rig.java
+++ b/src/test/java/dewstage/Rig.java
@@ -17,67 +17,74 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 
-/** Drives one instance of the module by hand: a clock, a record of its actions and its timers. */
+/**
+ * Drives one instance of the decision module on a virtual clock. Records its actions, delivers its timers and
+ * reports the outcomes of its attempts.
+ */
 final class Rig implements Balancer.Actions {
-    static final long MS = 1_000_000L, CONNECT_MS = 60;
-    static final Profile SAFE = profile(Effect.IDEMPOTENT, Scope.ALL, 0);
-    static final Profile KEYED = profile(Effect.DEDUPLICATED, Scope.ALL, 2000);
-    static final Profile KEYED_ZONE = profile(Effect.DEDUPLICATED, Scope.ZONE, 400);
-    static final Profile ONCE = profile(Effect.AT_MOST_ONCE, Scope.ALL, 0);
-    static final Profile SAFE_IN_TURN = inTurn(SAFE);
-    static final Profile ONCE_IN_TURN = inTurn(ONCE);
+    static final long MS = 1_000_000L;
+    static final long CONNECT_TIMEOUT_MS = 60;
+    static final Profile IDEMPOTENT_PROFILE = profile(Effect.IDEMPOTENT, Scope.ALL, 0);
+    static final Profile DEDUPLICATED_PROFILE = profile(Effect.DEDUPLICATED, Scope.ALL, 2000);
+    static final Profile ZONE_DEDUPLICATED_PROFILE = profile(Effect.DEDUPLICATED, Scope.ZONE, 400);
+    static final Profile AT_MOST_ONCE_PROFILE = profile(Effect.AT_MOST_ONCE, Scope.ALL, 0);
+    static final Profile SEQUENTIAL_IDEMPOTENT_PROFILE = sequential(IDEMPOTENT_PROFILE);
+    static final Profile SEQUENTIAL_AT_MOST_ONCE_PROFILE = sequential(AT_MOST_ONCE_PROFILE);
 
     final List<String> actions = new ArrayList<>();
-    final Map<Integer, List<Integer>> sends = new HashMap<>();
+    /** For each ticket the servers of its attempts, in order. */
+    final Map<Integer, List<Integer>> serversByTicket = new HashMap<>();
+    /** For each ticket its final answer; a second refusal or failure is appended to it. */
     final Map<Integer, String> answers = new HashMap<>();
+    /** Pending timers: due time and token. */
     final PriorityQueue<long[]> timers = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
-    final Policy rules;
+    final Policy policy;
     long now = 1_000_000_000_000L;
-    long lastTimeout;
-    private int next;
+    long lastTimeoutNs;
+    private int lastTicket;
 
     Rig(Settings settings) {
         this(settings, 7);
     }
 
     Rig(Settings settings, long seed) {
-        rules = new Policy(settings, seed, now, this);
+        policy = new Policy(settings, seed, now, this);
     }
 
     static Profile profile(Effect effect, Scope scope, long windowMs) {
         return new Profile(effect, scope, windowMs * MS, 250 * MS, 1000 * MS, 5, 0, false, false);
     }
 
-    private static Profile inTurn(Profile p) {
-        return new Profile(p.effect(), p.scope(), p.windowNs(), p.promiseNs(), p.giveUpNs(), p.worth(),
-                p.lateShare(), p.streamed(), true);
+    private static Profile sequential(Profile profile) {
+        return new Profile(profile.effect(), profile.scope(), profile.windowNs(), profile.promiseNs(),
+                profile.giveUpNs(), profile.worth(), profile.lateShare(), profile.streamed(), true);
     }
 
-    static Settings settings(boolean ask, Profile... profiles) {
-        return settings(0, 3, ask, profiles);
+    static Settings settings(boolean askForList, Profile... profiles) {
+        return settings(0, 3, askForList, profiles);
     }
 
-    static Settings settings(int me, int balancers, boolean ask, Profile... profiles) {
-        return settings(me, balancers, ask, false, profiles);
+    static Settings settings(int me, int balancers, boolean askForList, Profile... profiles) {
+        return settings(me, balancers, askForList, false, profiles);
     }
 
-    /** Strict: 'full' is no proof, and a key rests for 300 ms. */
-    static Settings strict(Profile... profiles) {
+    /** Settings where FULL does not prove that an attempt never ran, with a key cool-down of 300 ms. */
+    static Settings strictSettings(Profile... profiles) {
         return settings(0, 3, false, true, profiles);
     }
 
-    private static Settings settings(int me, int balancers, boolean ask, boolean strict,
+    private static Settings settings(int me, int balancers, boolean askForList, boolean strict,
             Profile... profiles) {
-        return new Settings(me, balancers, 0, List.of(profiles), ask, true, 4, 1000 * MS, 0.3, 9000 * MS, 3,
-                2000 * MS, ask ? 10_000 * MS : 0, 5 * MS, 0.1, strict, strict ? 300 * MS : 0,
-                CONNECT_MS * MS);
+        return new Settings(me, balancers, 0, List.of(profiles), askForList, true, 4, 1000 * MS, 0.3,
+                9000 * MS, 3, 2000 * MS, askForList ? 10_000 * MS : 0, 5 * MS, 0.1, strict,
+                strict ? 300 * MS : 0, CONNECT_TIMEOUT_MS * MS);
     }
 
     static Member member(int id, int zone, State state) {
         return new Member(id, 0, state, 0, zone, zone, 1);
     }
 
-    static Member[] ready(int count) {
+    static Member[] readyMembers(int count) {
         Member[] members = new Member[count];
         for (int i = 0; i < count; i++) {
             members[i] = member(i, 0, State.READY);
@@ -85,28 +92,28 @@
         return members;
     }
 
-    Rig list(ListKind kind, Member... members) {
-        rules.onMembers(now, kind, 1, List.of(members));
+    Rig updateMembers(ListKind kind, Member... members) {
+        policy.onMembers(now, kind, 1, List.of(members));
         return this;
     }
 
-    /** A new request; returns its ticket. */
-    int request(int profile, long leftMs) {
-        return request(profile, leftMs, 0);
+    /** Submits a new request and returns its ticket. */
+    int request(int profile, long remainingMs) {
+        return request(profile, remainingMs, 0);
     }
 
-    int request(int profile, long leftMs, long key) {
-        return take(profile, leftMs, key, false);
+    int request(int profile, long remainingMs, long key) {
+        return submit(profile, remainingMs, key, false);
     }
 
-    /** A client's repeat, marked as such. */
-    int repeat(int profile, long leftMs) {
-        return take(profile, leftMs, 0, true);
+    /** Submits a request marked as a client's repeat and returns its ticket. */
+    int repeat(int profile, long remainingMs) {
+        return submit(profile, remainingMs, 0, true);
     }
 
-    private int take(int profile, long leftMs, long key, boolean repeat) {
-        int ticket = ++next;
-        rules.onRequest(now, new Request(ticket, profile, 0, key, leftMs * MS, 0, repeat));
+    private int submit(int profile, long remainingMs, long key, boolean repeat) {
+        int ticket = ++lastTicket;
+        policy.onRequest(now, new Request(ticket, profile, 0, key, remainingMs * MS, 0, repeat));
         return ticket;
     }
 
@@ -114,60 +121,62 @@
         return request(0, 1000);
     }
 
-    /** The server of an attempt. */
+    /** Returns the server of an attempt, which is numbered from 0. */
     int server(int ticket, int attempt) {
-        return sends.get(ticket).get(attempt);
+        return serversByTicket.get(ticket).get(attempt);
     }
 
-    int attempts(int ticket) {
-        return sends.getOrDefault(ticket, List.of()).size();
+    int attemptCount(int ticket) {
+        return serversByTicket.getOrDefault(ticket, List.of()).size();
     }
 
-    void done(int ticket, int attempt, Status status, long tookMs, Report report) {
-        boolean over = status == Status.OK || answers.containsKey(ticket);
-        rules.onOutcome(now, new Outcome(ticket, attempt, server(ticket, attempt), status, tookMs * MS,
-                over, report));
+    /** Reports the outcome of an attempt to the module. */
+    void complete(int ticket, int attempt, Status status, long elapsedMs, Report report) {
+        boolean finished = status == Status.OK || answers.containsKey(ticket);
+        policy.onOutcome(now, new Outcome(ticket, attempt, server(ticket, attempt), status, elapsedMs * MS,
+                finished, report));
         if (status == Status.OK) {
             answers.putIfAbsent(ticket, "served");
         }
     }
 
-    void ok(int ticket, long tookMs) {
-        done(ticket, attempts(ticket) - 1, Status.OK, tookMs, null);
+    /** Reports success of the last attempt of a request. */
+    void completeOk(int ticket, long elapsedMs) {
+        complete(ticket, attemptCount(ticket) - 1, Status.OK, elapsedMs, null);
     }
 
-    /** Lets time pass, delivering timers as they fall due, in steps of 5 ms. */
-    Rig pass(long ms) {
-        for (long end = now + ms * MS; now < end;) {
+    /** Advances the clock in steps of 5 ms and delivers the timers that are due. */
+    Rig advance(long durationMs) {
+        for (long endNs = now + durationMs * MS; now < endNs;) {
             now += 5 * MS;
             while (!timers.isEmpty() && timers.peek()[0] <= now) {
-                rules.onTimer(now, timers.poll()[1]);
+                policy.onTimer(now, timers.poll()[1]);
             }
         }
         return this;
     }
 
-    static Report util(double util, double inflight) {
-        return new Report(inflight, Double.NaN, util, Double.NaN, Double.NaN, Double.NaN);
+    static Report loadReport(double utilization, double inFlight) {
+        return new Report(inFlight, Double.NaN, utilization, Double.NaN, Double.NaN, Double.NaN);
     }
 
     @Override
     public void send(int ticket, int server, long timeoutNs) {
-        lastTimeout = timeoutNs;
-        sends.computeIfAbsent(ticket, t -> new ArrayList<>()).add(server);
+        lastTimeoutNs = timeoutNs;
+        serversByTicket.computeIfAbsent(ticket, t -> new ArrayList<>()).add(server);
         actions.add("send " + ticket + " to " + server);
     }
 
     @Override
     public void refuse(int ticket, long retryInNs) {
         actions.add("refuse " + ticket);
-        answers.merge(ticket, "refused", (a, b) -> a + " and " + b);
+        answers.merge(ticket, "refused", (first, second) -> first + " and " + second);
     }
 
     @Override
     public void fail(int ticket) {
         actions.add("fail " + ticket);
-        answers.merge(ticket, "failed", (a, b) -> a + " and " + b);
+        answers.merge(ticket, "failed", (first, second) -> first + " and " + second);
     }
 
     @Override
@@ -176,8 +185,8 @@
     }
 
     @Override
-    public void timer(long at, long token) {
-        timers.add(new long[] {at, token});
+    public void timer(long dueNs, long token) {
+        timers.add(new long[] {dueNs, token});
     }
 
     @Override
--- a/src/test/java/dewstage/ServeScriptTest.java
+++ b/src/test/java/dewstage/ServeScriptTest.java
@@ -12,43 +12,46 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The start of a real proxy, where no program but the runtime itself can be started. */
+/**
+ * Tests deploy/serve.sh where Java is the only program on the path: an image may have no sed and no head. A
+ * substitute for Java prints its arguments.
+ */
 class ServeScriptTest {
     @TempDir
-    Path folder;
+    Path directory;
 
-    private List<String> start(String config) throws IOException, InterruptedException {
-        Path bin = Files.createDirectories(folder.resolve("bin"));
+    private List<String> runScript(String config) throws IOException, InterruptedException {
+        Path bin = Files.createDirectories(directory.resolve("bin"));
         Path java = bin.resolve("java");
         Files.writeString(java, "#!/bin/sh\nfor a in \"$@\"; do echo \"$a\"; done\n");
         assertTrue(java.toFile().setExecutable(true));
-        ProcessBuilder serve = new ProcessBuilder("/bin/sh", "deploy/serve.sh").redirectErrorStream(true);
-        serve.environment().clear();
-        serve.environment().put("PATH", bin.toString()); // no sed, no head: java is all there is
+        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "deploy/serve.sh").redirectErrorStream(true);
+        builder.environment().clear();
+        builder.environment().put("PATH", bin.toString()); // java is the only program
         if (config != null) {
-            serve.environment().put("NODE_CONFIG",
-                    Files.writeString(folder.resolve("config.json"), config).toString());
+            builder.environment().put("NODE_CONFIG",
+                    Files.writeString(directory.resolve("config.json"), config).toString());
         }
-        Process p = serve.start();
-        String said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertTrue(p.waitFor(60, TimeUnit.SECONDS));
-        assertEquals(0, p.exitValue(), said);
-        return said.lines().toList();
+        Process process = builder.start();
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertTrue(process.waitFor(60, TimeUnit.SECONDS));
+        assertEquals(0, process.exitValue(), output);
+        return output.lines().toList();
     }
 
     @Test
-    void heapFollowsTheLimitWithNoOtherProgram() throws Exception {
-        // (92 - 56) * 2 / 3 and (140 - 56) * 2 / 3; without a limit as with 128.
-        assertTrue(start("{\"limits\":{\"cores\":1.0,\"memory_mb\":92}}").contains("-Xmx24m"));
-        assertTrue(start("{\n \"limits\": {\n  \"memory_mb\" : 140\n}}\n").contains("-Xmx56m"));
-        assertTrue(start("{}").contains("-Xmx48m"));
-        assertTrue(start(null).contains("-Xmx48m"));
+    void heapSizeFollowsTheMemoryLimitWithoutOtherPrograms() throws Exception {
+        // In MB: (92 - 56) * 2 / 3 and (140 - 56) * 2 / 3; without a limit the same as with 128.
+        assertTrue(runScript("{\"limits\":{\"cores\":1.0,\"memory_mb\":92}}").contains("-Xmx24m"));
+        assertTrue(runScript("{\n \"limits\": {\n  \"memory_mb\" : 140\n}}\n").contains("-Xmx56m"));
+        assertTrue(runScript("{}").contains("-Xmx48m"));
+        assertTrue(runScript(null).contains("-Xmx48m"));
     }
 
     @Test
-    void serves() throws Exception {
-        List<String> words = start("{}");
-        assertEquals("serve", words.get(words.size() - 1));
-        assertTrue(words.contains("-XX:SharedArchiveFile=target/dewstage.jsa"));
+    void scriptRunsServeWithTheClassDataArchive() throws Exception {
+        List<String> arguments = runScript("{}");
+        assertEquals("serve", arguments.get(arguments.size() - 1));
+        assertTrue(arguments.contains("-XX:SharedArchiveFile=target/dewstage.jsa"));
     }
 }
