--- a/src/test/java/dewstage/ReferencePolicy.java
+++ b/src/test/java/dewstage/ReferencePolicy.java
@@ -14,656 +14,738 @@
 import java.util.SplittableRandom;
 
 /**
- * The module as it was when every pick, list, ejection and ageing walked all servers:
- * what the indexed one has to agree with.
+ * A plain reference implementation of the decisions of {@link Policy}, which has to take the same actions. It
+ * scans all servers for each selection, list, ejection and decay, where {@link Policy} uses indexes. The
+ * constants equal those of {@link Policy}, which gives the reasons for them.
  */
 final class ReferencePolicy implements Balancer {
-    private static final long RENEW_NS = 200_000_000L;
+    private static final long FACTOR_UPDATE_INTERVAL_NS = 200_000_000L;
 
-    private static final double SPARE_GAIN = 0.5;
+    private static final double SPARE_CAPACITY_GAIN = 0.5;
 
-    private static final double SPARE_FLOOR = 0.1;
+    private static final double MIN_SPARE_CAPACITY = 0.1;
 
-    private static final double PACE_ANSWERS = 10, PACE_NS = 10e9, KIND_ANSWERS = 4;
+    private static final double MAX_SERVICE_TIME_SAMPLES = 10;
+    private static final double SERVICE_TIME_MEMORY_NS = 10e9;
+    private static final double KIND_SAMPLES = 4;
 
-    private static final double USUAL_NS = 2e9, KIND_NS = 5e9;
+    private static final double AVERAGE_MEMORY_NS = 2e9;
+    private static final double KIND_MEMORY_NS = 5e9;
 
-    private static final double WAY_NS = 60e9;
+    private static final double LATENCY_MEMORY_NS = 60e9;
 
-    private static final double OTHERS_NS = 1e9, HELD_MOST = 1000;
+    private static final double REPORT_MEMORY_NS = 1e9;
+    private static final double MAX_REPORTED_REQUESTS = 1000;
 
-    private static final double PARALLEL_GAIN = 0.2;
+    private static final double CONCURRENCY_GAIN = 0.2;
 
-    private static final int EJECT_FAILURES = 4;
+    private static final int EJECTION_FAILURES = 4;
 
-    private static final double EJECT_MOST = 0.34;
+    private static final double MAX_EJECTED_FRACTION = 0.34;
 
-    private static final double SILENT_GAPS = 6, SILENT_PROMISE = 0.8;
+    private static final double UNRESPONSIVE_SERVICE_TIMES = 6;
+    private static final double UNRESPONSIVE_PROMISE_FRACTION = 0.8;
 
-    private static final long TRIAL_NS = 500_000_000L;
+    private static final long TRIAL_DELAY_NS = 500_000_000L;
 
-    private static final double COLD_SAFETY = 0.6;
+    private static final double COLD_BUDGET_FRACTION = 0.6;
 
-    private static final double RETRY_RATE = 0.02, RETRY_BURST = 5;
+    private static final double RETRIES_PER_REQUEST = 0.02;
+    private static final double MAX_SAVED_RETRIES = 5;
 
-    private static final double RESEND_RATE = 0.3, RESEND_BURST = 10;
+    private static final double RESET_RETRIES_PER_REQUEST = 0.3;
+    private static final double MAX_SAVED_RESET_RETRIES = 10;
 
-    private static final double ADMIT = 0.25;
+    private static final double ADMISSION_FRACTION = 0.25;
 
-    private static final double THROTTLE_RATIO = 1.2, THROTTLE_FLOOR = 1, THROTTLE_LOST = 0.7;
+    private static final double MAX_SENT_PER_SERVED = 1.2;
+    private static final double MIN_THROTTLE_ALLOWANCE = 1;
+    private static final double MIN_LOST_TO_THROTTLE = 0.7;
 
-    private static final double THROTTLE_TRY = 0.3;
+    private static final double THROTTLED_ARRIVAL_FRACTION = 0.3;
 
-    private static final double MEDIAN_STEP = 0.05;
+    private static final double QUANTILE_STEP = 0.05;
 
-    private static final double QUICK_SHARE = 0.1;
+    private static final double FAST_QUANTILE = 0.1;
 
-    private static final double TARDY = 2;
+    private static final double LATE_FACTOR = 2;
 
-    private static final double UNIT_HOLDS = 3, PART_LEAST = 4, CROWDED = 4;
+    private static final double IN_FLIGHT_PER_UNIT = 3;
+    private static final double MIN_IN_FLIGHT_SHARE = 4;
+    private static final double CONGESTION_FACTOR = 4;
 
-    private static final double SUBSET_LEAST = 2, SUBSET_HEARD = 2;
+    private static final double MIN_SUBSET_SIZE = 2;
+    private static final double REQUESTS_PER_PROMISE = 2;
 
-    private static final double GOLDEN = 0.6180339887;
+    private static final double GOLDEN_RATIO = 0.6180339887;
 
-    private static final long HOLD_NS = 20_000_000L;
+    private static final long QUEUE_CHECK_INTERVAL_NS = 20_000_000L;
 
-    private static final double RATE_NS = 15e9, RATE_LEAST_NS = 1e9;
-    private static final long AGE_NS = 50_000_000L;
+    private static final double RATE_MEMORY_NS = 15e9;
+    private static final double MIN_RATE_AGE_NS = 1e9;
+    private static final long DECAY_INTERVAL_NS = 50_000_000L;
 
-    private static final long ASK_NS = 250_000_000L;
+    private static final long CALL_DELAY_NS = 250_000_000L;
 
-    private static final long CALL_NS = 200_000_000L;
-    private static final double CALLED_WITHIN = 0.2;
+    private static final long CALL_COST_NS = 200_000_000L;
+    private static final double MAX_CALL_SPREAD_FRACTION = 0.2;
 
-    private static final long PULSE_NS = 50_000_000L;
+    private static final long HEARTBEAT_INTERVAL_NS = 50_000_000L;
 
-    private static final long WAIT_TOKEN = 1L << 32, PULSE_TOKEN = WAIT_TOKEN + 1;
+    private static final long QUEUE_TOKEN = 1L << 32;
+    private static final long HEARTBEAT_TOKEN = QUEUE_TOKEN + 1;
 
     private final Settings settings;
-    private final Actions out;
+    private final Actions actions;
     private final SplittableRandom random;
-    private final IntMap<Server> byId = new IntMap<>();
+    private final IntMap<Server> serversById = new IntMap<>();
     private final List<Server> servers = new ArrayList<>();
-    /** Each one's place in this proxy's order of its zone, 0 to 1; those with room in the last pick. */
-    private final Map<Server, Double> places = new HashMap<>();
-    private final Set<Server> fits = new HashSet<>();
-    private final IntMap<Ticket> tickets = new IntMap<>();
-    private final Map<Long, Turn> turns = new HashMap<>();
-
-    private final List<Ticket> waiting = new ArrayList<>();
-
-    private final double[] zoneRate = new double[256], usual = new double[256], kindPace = new double[256];
-    private final int[] zoneReady = new int[256];
-
-    private final double[] weights = new double[2], times = new double[2], open = new double[2];
-    private final long[] kindAt = new long[256], usualAt = new long[256];
-
-    private final double[] quickest = new double[256], way = new double[256];
-    private final long[] quickestAt = new long[256];
-    private final double[] median, quick;
-    private final long[] mostLeft;
+    /** The index of each server in this proxy's order of its zone, as a fraction from 0 to 1. */
+    private final Map<Server, Double> positions = new HashMap<>();
+    /** The servers that had capacity in the last selection. */
+    private final Set<Server> serversWithCapacity = new HashSet<>();
+    private final IntMap<Ticket> pendingByTicket = new IntMap<>();
+    private final Map<Long, Turn> keyQueues = new HashMap<>();
+    /** Requests that wait for capacity, those of the highest worth first. */
+    private final List<Ticket> queuedRequests = new ArrayList<>();
+
+    // Indexed by the low 8 bits of the zone or of the machine type.
+    private final double[] sendRateByZone = new double[256];
+    private final double[] averageShareByZone = new double[256];
+    private final double[] serviceTimeByKind = new double[256];
+    private final int[] readyCountByZone = new int[256];
+
+    // Sums over the servers of the local zone (0) and of the other zones (1) in the last selection.
+    private final double[] weightSums = new double[2];
+    private final double[] weightedTimeSums = new double[2];
+    private final double[] openWeights = new double[2];
+    private final long[] kindUpdatedAtNs = new long[256];
+    private final long[] averageUpdatedAtNs = new long[256];
+
+    private final double[] fastestByZone = new double[256];
+    private final double[] latencyByZone = new double[256];
+    private final long[] fastestUpdatedAtNs = new long[256];
+    /** Median and lower quantile of the response times of each class. */
+    private final double[] medianByProfile;
+    private final double[] fastByProfile;
+    private final long[] maxRemainingByProfile;
     private final double meanWorth;
-    private final long minPromise;
-    private double arrivals, sent, good, lost, parallel = 1, leastService, retries = RETRY_BURST / 2;
-    private double resends = RESEND_BURST / 2;
-    private final long startedAt;
-    private long agedAt, heardAt, wokeAt, askPause = ASK_NS;
-
-    private double part = Double.MAX_VALUE;
-    private int allOut, asked;
-
-    private Profile full;
-    private boolean armed;
-
-    ReferencePolicy(Settings settings, long seed, long now, Actions out) {
+    private final long minPromiseNs;
+    private double recentArrivals;
+    private double recentSent;
+    private double recentServed;
+    private double recentLost;
+    private double averageConcurrency = 1;
+    private double minServiceTimeNs;
+    private double retryBudget = MAX_SAVED_RETRIES / 2;
+    private double resetRetryBudget = MAX_SAVED_RESET_RETRIES / 2;
+    private final long startedAtNs;
+    private long decayedAtNs;
+    private long lastEventAtNs;
+    private long resumedAtNs;
+    private long callDelayNs = CALL_DELAY_NS;
+
+    private double inFlightShare = Double.MAX_VALUE;
+    private int totalInFlight;
+    private int lastCallToken;
+
+    private Profile congestedProfile;
+    private boolean queueCheckScheduled;
+
+    ReferencePolicy(Settings settings, long seed, long now, Actions actions) {
         this.settings = settings;
-        this.out = out;
+        this.actions = actions;
         this.random = new SplittableRandom(seed);
-        this.minPromise = settings.profiles().stream().mapToLong(Profile::promiseNs).min().orElse(0);
+        this.minPromiseNs = settings.profiles().stream().mapToLong(Profile::promiseNs).min().orElse(0);
         this.meanWorth = settings.profiles().stream().mapToDouble(Profile::worth).average().orElse(1);
-        this.median = new double[settings.profiles().size()];
-        this.quick = new double[median.length];
-        this.mostLeft = new long[median.length];
-        Arrays.fill(kindPace, minPromise / 6.0);
-        Arrays.fill(kindAt, now);
-        Arrays.fill(quickest, Double.MAX_VALUE);
-        Arrays.fill(usual, 1);
-        Arrays.fill(usualAt, now);
-        this.startedAt = now;
-        this.agedAt = now;
-        this.heardAt = now;
-        out.timer(now + PULSE_NS, PULSE_TOKEN);
-        if (settings.askForList()) { ask(now); }
+        this.medianByProfile = new double[settings.profiles().size()];
+        this.fastByProfile = new double[medianByProfile.length];
+        this.maxRemainingByProfile = new long[medianByProfile.length];
+        Arrays.fill(serviceTimeByKind, minPromiseNs / 6.0);
+        Arrays.fill(kindUpdatedAtNs, now);
+        Arrays.fill(fastestByZone, Double.MAX_VALUE);
+        Arrays.fill(averageShareByZone, 1);
+        Arrays.fill(averageUpdatedAtNs, now);
+        this.startedAtNs = now;
+        this.decayedAtNs = now;
+        this.lastEventAtNs = now;
+        actions.timer(now + HEARTBEAT_INTERVAL_NS, HEARTBEAT_TOKEN);
+        if (settings.askForList()) { callDiscovery(now); }
     }
 
-    private void ask(long now) {
-        out.subscribe(true);
-        askAgain(now + settings.askWithinNs() / 2);
+    private void callDiscovery(long now) {
+        actions.subscribe(true);
+        scheduleCall(now + settings.askWithinNs() / 2);
     }
 
-    private void askAgain(long at) {
-        out.timer(at, ++asked);
+    private void scheduleCall(long at) {
+        actions.timer(at, ++lastCallToken);
     }
 
     @Override
     public void onMembers(long now, ListKind kind, long version, List<Member> members) {
         if (kind == ListKind.FAILED) {
-            long spread = Math.max(askPause, Math.min(settings.balancers() * CALL_NS,
-                    (long) (settings.askWithinNs() * CALLED_WITHIN)));
-            askAgain(now + askPause / 2 + (long) (spread * random.nextDouble()));
-            askPause = Math.min(askPause * 2, 8 * ASK_NS);
+            long spreadNs = Math.max(callDelayNs, Math.min(settings.balancers() * CALL_COST_NS,
+                    (long) (settings.askWithinNs() * MAX_CALL_SPREAD_FRACTION)));
+            scheduleCall(now + callDelayNs / 2 + (long) (spreadNs * random.nextDouble()));
+            callDelayNs = Math.min(callDelayNs * 2, 8 * CALL_DELAY_NS);
             return;
         }
         if (kind != ListKind.CACHED) {
-            asked++;
-            askPause = ASK_NS;
-        }
-        for (Server s : servers) {
-            s.named &= kind == ListKind.DELTA;
-        }
-        for (Member m : members) {
-            Server s = byId.get(m.id());
-            if (s == null || m.bootNs() > s.bootNs) { s = started(m, now); }
-            s.listed = m;
-            s.named = true;
-        }
-        Arrays.fill(zoneReady, 0);
-        servers.sort(Comparator.comparingInt(s -> s.id));
-        for (Iterator<Server> i = servers.iterator(); i.hasNext();) {
-            Server s = i.next();
-            s.rank = zoneReady[zone(s)];
-            zoneReady[zone(s)] += s.ready() ? 1 : 0;
-            if (s.out == 0 && (!s.named || s.listed.state() == State.GONE)) {
-                i.remove();
-                byId.remove(s.id);
+            lastCallToken++;
+            callDelayNs = CALL_DELAY_NS;
+        }
+        for (Server server : servers) {
+            server.named &= kind == ListKind.DELTA;
+        }
+        for (Member member : members) {
+            Server server = serversById.get(member.id());
+            if (server == null || member.bootNs() > server.bootNs) { server = addServer(member, now); }
+            server.listed = member;
+            server.named = true;
+        }
+        Arrays.fill(readyCountByZone, 0);
+        servers.sort(Comparator.comparingInt(server -> server.id));
+        for (Iterator<Server> remaining = servers.iterator(); remaining.hasNext();) {
+            Server server = remaining.next();
+            server.rank = readyCountByZone[zoneOf(server)];
+            readyCountByZone[zoneOf(server)] += server.ready() ? 1 : 0;
+            if (server.out == 0 && (!server.named || server.listed.state() == State.GONE)) {
+                remaining.remove();
+                serversById.remove(server.id);
             }
         }
-        places.clear();
-        for (Server s : servers) {
-            double place = s.rank / (double) Math.max(1, zoneReady[zone(s)]) + settings.me() * GOLDEN;
-            places.put(s, place - Math.floor(place));
-        }
-    }
-
-    private Server started(Member m, long now) {
-        Server s = new Server(m, kindPace[m.kind() & 255], parallel, now);
-        s.named = true;
-        Server old = byId.get(s.id);
-        if (old != null) { servers.remove(old); }
-        servers.add(s);
-        byId.put(s.id, s);
-        renew(s, now);
-        s.tokens = random.nextDouble();
-        s.tally = -random.nextDouble();
-        return s;
-    }
-
-    private static int zone(Server s) {
-        return s.listed.zone() & 255;
-    }
-
-    private double warmth(Server s, long now) {
-        double age = (now - s.bootNs) / (double) settings.coldNs();
-        return s.bootNs <= 0 || age >= 1 ? 1
-                : settings.startCapacity() + (1 - settings.startCapacity()) * Math.max(0, age);
-    }
-
-    private void report(Server s, long now, Report r) {
-        if (r == null) { return; }
-        s.blind = !Double.isFinite(r.inflight());
-        double held = Double.isFinite(r.inflight()) ? r.inflight() : r.queue();
-        if (held >= 0 && held < HELD_MOST && (held != s.held || r.util() != s.util)) {
-            s.held = held;
-            s.util = r.util();
-            double others = Math.max(0, held - s.out) / s.parallel;
-            s.heard += SPARE_GAIN * (others - s.heard);
-            s.others = s.heard;
-            s.fresh = 1;
-            crowd(zone(s), others, now);
-        }
-        if (r.perSecond() > 0 && r.util() > 0 && r.perSecond() != s.told) {
-            s.told = r.perSecond();
-            s.rate += PARALLEL_GAIN * (r.perSecond() - s.rate);
-            s.busy += PARALLEL_GAIN * (Math.min(1, r.util()) - s.busy);
-            s.parallel = Math.max(1, s.rate / s.busy * s.pace / 1e9);
-            parallel += PARALLEL_GAIN * (s.parallel - parallel);
-        }
-        if (now - s.renewedAt >= RENEW_NS) {
-            if (Double.isFinite(r.util())) {
-                s.spare += SPARE_GAIN * (1 - Math.max(0, Math.min(1, r.util())) - s.spare);
+        positions.clear();
+        for (Server server : servers) {
+            double position = server.rank / (double) Math.max(1, readyCountByZone[zoneOf(server)])
+                    + settings.me() * GOLDEN_RATIO;
+            positions.put(server, position - Math.floor(position));
+        }
+    }
+
+    private Server addServer(Member member, long now) {
+        Server server = new Server(member, serviceTimeByKind[member.kind() & 255], averageConcurrency, now);
+        server.named = true;
+        Server previous = serversById.get(server.id);
+        if (previous != null) { servers.remove(previous); }
+        servers.add(server);
+        serversById.put(server.id, server);
+        updateFactor(server, now);
+        server.tokens = random.nextDouble();
+        server.tally = -random.nextDouble();
+        return server;
+    }
+
+    private static int zoneOf(Server server) {
+        return server.listed.zone() & 255;
+    }
+
+    private double warmth(Server server, long now) {
+        double relativeAge = (now - server.bootNs) / (double) settings.coldNs();
+        return server.bootNs <= 0 || relativeAge >= 1 ? 1
+                : settings.startCapacity() + (1 - settings.startCapacity()) * Math.max(0, relativeAge);
+    }
+
+    private void applyReport(Server server, long now, Report load) {
+        if (load == null) { return; }
+        server.blind = !Double.isFinite(load.inflight());
+        double requests = Double.isFinite(load.inflight()) ? load.inflight() : load.queue();
+        if (requests >= 0 && requests < MAX_REPORTED_REQUESTS
+                && (requests != server.held || load.util() != server.util)) {
+            server.held = requests;
+            server.util = load.util();
+            double foreignLoad = Math.max(0, requests - server.out) / server.parallel;
+            server.heard += SPARE_CAPACITY_GAIN * (foreignLoad - server.heard);
+            server.others = server.heard;
+            server.fresh = 1;
+            updateAverageShare(zoneOf(server), foreignLoad, now);
+        }
+        if (load.perSecond() > 0 && load.util() > 0 && load.perSecond() != server.told) {
+            server.told = load.perSecond();
+            server.rate += CONCURRENCY_GAIN * (load.perSecond() - server.rate);
+            server.busy += CONCURRENCY_GAIN * (Math.min(1, load.util()) - server.busy);
+            server.parallel = Math.max(1, server.rate / server.busy * server.pace / 1e9);
+            averageConcurrency += CONCURRENCY_GAIN * (server.parallel - averageConcurrency);
+        }
+        if (now - server.renewedAt >= FACTOR_UPDATE_INTERVAL_NS) {
+            if (Double.isFinite(load.util())) {
+                server.spare += SPARE_CAPACITY_GAIN
+                        * (1 - Math.max(0, Math.min(1, load.util())) - server.spare);
             }
-            renew(s, now);
+            updateFactor(server, now);
         }
     }
 
-    private void crowd(int z, double others, long now) {
-        usual[z] += (1 - Math.exp((usualAt[z] - now) / USUAL_NS)) * (1 / (1 + others) - usual[z]);
-        usualAt[z] = now;
+    private void updateAverageShare(int zoneIndex, double foreignLoad, long now) {
+        averageShareByZone[zoneIndex] += (1
+                - Math.exp((averageUpdatedAtNs[zoneIndex] - now) / AVERAGE_MEMORY_NS))
+                * (1 / (1 + foreignLoad) - averageShareByZone[zoneIndex]);
+        averageUpdatedAtNs[zoneIndex] = now;
     }
 
-    private void renew(Server s, long now) {
-        s.renewedAt = now;
-        s.factor = minPromise / s.pace * s.parallel * Math.max(SPARE_FLOOR, s.spare) * warmth(s, now);
+    private void updateFactor(Server server, long now) {
+        server.renewedAt = now;
+        server.factor = minPromiseNs / server.pace * server.parallel
+                * Math.max(MIN_SPARE_CAPACITY, server.spare) * warmth(server, now);
     }
 
-    private static double load(Server s) {
-        return s.out / s.parallel + s.others;
+    private static double load(Server server) {
+        return server.out / server.parallel + server.others;
     }
 
-    private static double weight(Server s) {
-        double wait = 1 + load(s);
-        return s.factor / (wait * wait * wait * wait);
+    private static double weight(Server server) {
+        double queueLength = 1 + load(server);
+        return server.factor / (queueLength * queueLength * queueLength * queueLength);
     }
 
-    private boolean silent(Server s, long now) {
-        return s.out > 0 && now - s.owedSince > minPromise * SILENT_PROMISE + way[zone(s)]
-                + SILENT_GAPS * s.pace * (1 + s.others / s.out);
+    private boolean isUnresponsive(Server server, long now) {
+        return server.out > 0
+                && now - server.owedSince > minPromiseNs * UNRESPONSIVE_PROMISE_FRACTION
+                + latencyByZone[zoneOf(server)]
+                + UNRESPONSIVE_SERVICE_TIMES * server.pace * (1 + server.others / server.out);
     }
 
-    private void eject(Server s, long now) {
-        long ready = servers.stream().filter(Server::ready).count();
-        long ejected = servers.stream().filter(o -> o.ready() && o.ejected).count();
-        if (s.ejected || ejected + 1 <= ready * EJECT_MOST) {
-            s.trialPause = s.ejected ? Math.min(s.trialPause * 2, 4 * TRIAL_NS) : TRIAL_NS;
-            s.trialAt = now + s.trialPause;
-            s.ejected = true;
+    private void eject(Server server, long now) {
+        long readyCount = servers.stream().filter(Server::ready).count();
+        long ejectedCount = servers.stream().filter(other -> other.ready() && other.ejected).count();
+        if (server.ejected || ejectedCount + 1 <= readyCount * MAX_EJECTED_FRACTION) {
+            server.trialPause = server.ejected ? Math.min(server.trialPause * 2, 4 * TRIAL_DELAY_NS)
+                    : TRIAL_DELAY_NS;
+            server.trialAt = now + server.trialPause;
+            server.ejected = true;
         }
     }
 
-    private void doubt(Server s, long now) {
-        eject(s, now);
-        s.trialAt = now;
-        s.trialPause = TRIAL_NS / 2;
+    private void ejectForTrial(Server server, long now) {
+        eject(server, now);
+        server.trialAt = now;
+        server.trialPause = TRIAL_DELAY_NS / 2;
     }
 
-    private boolean budget(Server s, long now) {
-        double warmth = warmth(s, now);
-        if (warmth >= 1) { return true; }
-        double remembered = RATE_NS * (1 - Math.exp(-Math.max(RATE_LEAST_NS, now - startedAt) / RATE_NS));
-        double mine = zoneRate[zone(s)] / remembered * Math.max(1, zoneReady[zone(s)] / subset());
-        double idle = Math.min(1, 2 * Math.max(SPARE_FLOOR, s.spare));
-        double rate = COLD_SAFETY * idle * Math.max(mine * settings.tipMultiple() * warmth,
+    private boolean hasColdBudget(Server server, long now) {
+        double currentWarmth = warmth(server, now);
+        if (currentWarmth >= 1) { return true; }
+        double rateAgeNs = RATE_MEMORY_NS
+                * (1 - Math.exp(-Math.max(MIN_RATE_AGE_NS, now - startedAtNs) / RATE_MEMORY_NS));
+        double ownRate = sendRateByZone[zoneOf(server)] / rateAgeNs
+                * Math.max(1, readyCountByZone[zoneOf(server)] / subsetSize());
+        double idleFraction = Math.min(1, 2 * Math.max(MIN_SPARE_CAPACITY, server.spare));
+        double budgetRate = COLD_BUDGET_FRACTION * idleFraction
+                * Math.max(ownRate * settings.tipMultiple() * currentWarmth,
                 1.0 / settings.fallNs() / Math.max(1, settings.balancers()));
-        s.tokens = Math.min(Math.max(1, rate * settings.fallNs() / 2), s.tokens + rate * (now - s.tokensAt));
-        s.tokensAt = now;
-        return s.tokens >= 1;
+        server.tokens = Math.min(Math.max(1, budgetRate * settings.fallNs() / 2),
+                server.tokens + budgetRate * (now - server.tokensAt));
+        server.tokensAt = now;
+        return server.tokens >= 1;
     }
 
-    private double subset() {
-        double heard = arrivals * minPromise / USUAL_NS / SUBSET_HEARD;
-        return Math.max(heard, SUBSET_LEAST * Math.max(1, servers.size() / (double) settings.balancers()));
+    private double subsetSize() {
+        double observable = recentArrivals * minPromiseNs / AVERAGE_MEMORY_NS / REQUESTS_PER_PROMISE;
+        return Math.max(observable,
+                MIN_SUBSET_SIZE * Math.max(1, servers.size() / (double) settings.balancers()));
     }
 
-    private Attempt bound(Ticket t) {
-        for (Attempt a : t.attempts) {
-            boolean never = a.ended != null && a.ended.neverRan
-                    && !(a.ended == Status.FULL && settings.fullIsNoProof());
-            if (!never) { return a; }
+    private Attempt bindingAttempt(Ticket pending) {
+        for (Attempt attempt : pending.attempts) {
+            boolean provenNotRun = attempt.ended != null && attempt.ended.neverRan
+                    && !(attempt.ended == Status.FULL && settings.fullIsNoProof());
+            if (!provenNotRun) { return attempt; }
         }
         return null;
     }
 
-    private boolean fit(Server s, Ticket t, Attempt bound, long now) {
-        if (!s.ready() || !budget(s, now)) { return false; }
-        for (Attempt a : t.attempts) {
-            if (a.to.id == s.id) { return false; }
+    private boolean isEligible(Server server, Ticket pending, Attempt binding, long now) {
+        if (!server.ready() || !hasColdBudget(server, now)) { return false; }
+        for (Attempt attempt : pending.attempts) {
+            if (attempt.to.id == server.id) { return false; }
         }
-        if (bound == null || t.profile.effect() != Effect.DEDUPLICATED || t.profile.scope() == Scope.ALL) {
+        if (binding == null || pending.profile.effect() != Effect.DEDUPLICATED
+                || pending.profile.scope() == Scope.ALL) {
             return true;
         }
-        return zone(s) == zone(bound.to)
-                && (t.profile.scope() == Scope.ZONE || s.listed.cell() == bound.to.listed.cell());
-    }
-
-    private Server pick(Ticket t, long now) {
-        Server s = pick(t, t.attempts.size() > 0, now);
-        return s == null && leastService == Double.MAX_VALUE ? pick(t, true, now) : s;
-    }
-
-    private Server pick(Ticket t, boolean wide, long now) {
-        Arrays.fill(weights, 0);
-        Arrays.fill(times, 0);
-        Arrays.fill(open, 0);
-        leastService = Double.MAX_VALUE;
-        double most = (t.aim - now) * ADMIT;
-        fits.clear();
-        Attempt bound = bound(t);
-        double subset = wide ? Double.MAX_VALUE : subset();
-        for (Server s : servers) {
-            int side = zone(s) == settings.zone() ? 0 : 1;
-            if (!(places.get(s) * zoneReady[zone(s)] < subset - side && fit(s, t, bound, now))) { continue; }
-            if (!s.ejected && silent(s, now)) { doubt(s, now); }
-            if (s.ejected) {
-                if (now >= s.trialAt && bound == null
-                        && (s.out == 0 || t.profile.effect() != Effect.AT_MOST_ONCE)) {
-                    eject(s, now);
-                    return s;
+        return zoneOf(server) == zoneOf(binding.to)
+                && (pending.profile.scope() == Scope.ZONE
+                || server.listed.cell() == binding.to.listed.cell());
+    }
+
+    private Server selectServer(Ticket pending, long now) {
+        Server server = selectServer(pending, pending.attempts.size() > 0, now);
+        return server == null && minServiceTimeNs == Double.MAX_VALUE ? selectServer(pending, true, now)
+                : server;
+    }
+
+    private Server selectServer(Ticket pending, boolean wide, long now) {
+        Arrays.fill(weightSums, 0);
+        Arrays.fill(weightedTimeSums, 0);
+        Arrays.fill(openWeights, 0);
+        minServiceTimeNs = Double.MAX_VALUE;
+        double maxQueueNs = (pending.aim - now) * ADMISSION_FRACTION;
+        serversWithCapacity.clear();
+        Attempt binding = bindingAttempt(pending);
+        double width = wide ? Double.MAX_VALUE : subsetSize();
+        for (Server server : servers) {
+            int side = zoneOf(server) == settings.zone() ? 0 : 1;
+            if (!(positions.get(server) * readyCountByZone[zoneOf(server)] < width - side
+                    && isEligible(server, pending, binding, now))) { continue; }
+            if (!server.ejected && isUnresponsive(server, now)) { ejectForTrial(server, now); }
+            if (server.ejected) {
+                if (now >= server.trialAt && binding == null
+                        && (server.out == 0 || pending.profile.effect() != Effect.AT_MOST_ONCE)) {
+                    eject(server, now);
+                    return server;
                 }
                 continue;
             }
-            double slow = s.pace / warmth(s, now);
-            leastService = Math.min(leastService, s.pace);
-            weights[side] += weight(s);
-            double waits = s.blind ? 1 / Math.max(SPARE_FLOOR, s.spare) : 1;
-            times[side] += weight(s) * (way[zone(s)] + slow * (load(s) + 1) * waits);
-            if (slow * load(s) <= most - way[zone(s)] * ADMIT) {
-                fits.add(s);
-                open[side] += weight(s);
+            double serviceTimeNs = server.pace / warmth(server, now);
+            minServiceTimeNs = Math.min(minServiceTimeNs, server.pace);
+            weightSums[side] += weight(server);
+            double queueFactor = server.blind ? 1 / Math.max(MIN_SPARE_CAPACITY, server.spare) : 1;
+            weightedTimeSums[side] += weight(server)
+                    * (latencyByZone[zoneOf(server)] + serviceTimeNs * (load(server) + 1) * queueFactor);
+            if (serviceTimeNs * load(server) <= maxQueueNs
+                    - latencyByZone[zoneOf(server)] * ADMISSION_FRACTION) {
+                serversWithCapacity.add(server);
+                openWeights[side] += weight(server);
             }
         }
-        boolean cross = open[0] == 0
-                || missed(0, t, now) - missed(1, t, now) > settings.crossZonePrice();
+        boolean crossesZones = openWeights[0] == 0
+                || expectedLoss(0, pending, now) - expectedLoss(1, pending, now) > settings.crossZonePrice();
         Server best = null;
-        double total = open[0] + (cross ? open[1] : 0);
-        for (Server s : servers) {
-            if (fits.contains(s) && (cross || zone(s) == settings.zone())) {
-                s.tally += weight(s) / total;
-                best = best == null || s.tally > best.tally ? s : best;
+        double totalWeight = openWeights[0] + (crossesZones ? openWeights[1] : 0);
+        for (Server server : servers) {
+            if (serversWithCapacity.contains(server) && (crossesZones || zoneOf(server) == settings.zone())) {
+                server.tally += weight(server) / totalWeight;
+                best = best == null || server.tally > best.tally ? server : best;
             }
         }
         if (best != null) { best.tally--; }
         return best;
     }
 
-    private double missed(int side, Ticket t, long now) {
-        double expected = weights[side] > 0 ? times[side] / weights[side] : Double.MAX_VALUE;
-        double p = Math.exp(-Math.max(1, t.aim - now) / Math.max(1, expected));
-        return p * t.profile.worth() / meanWorth * (1 - t.profile.lateShare());
+    private double expectedLoss(int side, Ticket pending, long now) {
+        double expectedTimeNs = weightSums[side] > 0 ? weightedTimeSums[side] / weightSums[side]
+                : Double.MAX_VALUE;
+        double missProbability = Math.exp(-Math.max(1, pending.aim - now) / Math.max(1, expectedTimeNs));
+        return missProbability * pending.profile.worth() / meanWorth * (1 - pending.profile.lateShare());
     }
 
-    private void heard(long now) {
-        if (now - heardAt > 2 * PULSE_NS) {
-            wokeAt = now;
-            servers.forEach(s -> s.owedSince = now);
+    private void detectPause(long now) {
+        if (now - lastEventAtNs > 2 * HEARTBEAT_INTERVAL_NS) {
+            resumedAtNs = now;
+            servers.forEach(server -> server.owedSince = now);
         }
-        heardAt = now;
+        lastEventAtNs = now;
     }
 
-    private long aim(Request r, Profile p, long now) {
-        mostLeft[r.profile()] = Math.max(mostLeft[r.profile()], r.leftNs());
-        long waited = r.repeat() && r.leftNs() < mostLeft[r.profile()] - settings.stepNs()
-                ? p.giveUpNs() - r.leftNs() : 0;
-        return now + Math.min(r.leftNs(), p.promiseNs() - waited);
+    private long usefulUntil(Request request, Profile requestClass, long now) {
+        maxRemainingByProfile[request.profile()] = Math.max(maxRemainingByProfile[request.profile()],
+                request.leftNs());
+        long waitedNs = request.repeat()
+                && request.leftNs() < maxRemainingByProfile[request.profile()] - settings.stepNs()
+                ? requestClass.giveUpNs() - request.leftNs() : 0;
+        return now + Math.min(request.leftNs(), requestClass.promiseNs() - waitedNs);
     }
 
     @Override
     public void onRequest(long now, Request request) {
-        heard(now);
-        age(now);
-        arrivals++;
+        detectPause(now);
+        decayEstimates(now);
+        recentArrivals++;
         Profile profile = settings.profiles().get(request.profile());
-        Ticket t = new Ticket(request, profile, aim(request, profile, now), now + request.leftNs());
-        tickets.put(request.ticket(), t);
-        if (t.profile.sequential() && request.key() != 0) {
-            t.turn = turns.computeIfAbsent(request.key(), k -> new Turn());
-            t.turn.queue.add(t);
-        }
-        retries = Math.min(RETRY_BURST, retries + RETRY_RATE);
-        resends = Math.min(RESEND_BURST, resends + RESEND_RATE);
-        if (!offer(t, now)) { hold(t, now); }
-    }
-
-    private void hold(Ticket t, long now) {
-        t.held = true;
-        int at = waiting.size();
-        while (at > 0 && waiting.get(at - 1).profile.worth() <= t.profile.worth()) { at--; }
-        waiting.add(at, t);
-        arm(now);
-    }
-
-    private void age(long now) {
-        if (now - agedAt > AGE_NS) {
-            double keep = Math.exp((agedAt - now) / RATE_NS);
-            double hope = Math.exp((agedAt - now) / KIND_NS);
-            for (int z = 0; z < zoneRate.length; z++) {
-                zoneRate[z] *= keep;
-                usual[z] = 1 - hope * (1 - usual[z]);
+        Ticket pending = new Ticket(request, profile, usefulUntil(request, profile, now),
+                now + request.leftNs());
+        pendingByTicket.put(request.ticket(), pending);
+        if (pending.profile.sequential() && request.key() != 0) {
+            pending.turn = keyQueues.computeIfAbsent(request.key(), k -> new Turn());
+            pending.turn.queue.add(pending);
+        }
+        retryBudget = Math.min(MAX_SAVED_RETRIES, retryBudget + RETRIES_PER_REQUEST);
+        resetRetryBudget = Math.min(MAX_SAVED_RESET_RETRIES, resetRetryBudget + RESET_RETRIES_PER_REQUEST);
+        if (!trySend(pending, now)) { enqueue(pending, now); }
+    }
+
+    private void enqueue(Ticket pending, long now) {
+        pending.held = true;
+        int index = queuedRequests.size();
+        while (index > 0
+                && queuedRequests.get(index - 1).profile.worth() <= pending.profile.worth()) { index--; }
+        queuedRequests.add(index, pending);
+        scheduleQueueCheck(now);
+    }
+
+    private void decayEstimates(long now) {
+        if (now - decayedAtNs > DECAY_INTERVAL_NS) {
+            double retained = Math.exp((decayedAtNs - now) / RATE_MEMORY_NS);
+            double retainedAverage = Math.exp((decayedAtNs - now) / KIND_MEMORY_NS);
+            for (int zoneIndex = 0; zoneIndex < sendRateByZone.length; zoneIndex++) {
+                sendRateByZone[zoneIndex] *= retained;
+                averageShareByZone[zoneIndex] = 1 - retainedAverage * (1 - averageShareByZone[zoneIndex]);
             }
-            keep = Math.exp((agedAt - now) / USUAL_NS);
-            arrivals *= keep;
-            sent *= keep;
-            good *= keep;
-            lost *= keep;
-            keep = Math.exp((agedAt - now) / OTHERS_NS);
+            retained = Math.exp((decayedAtNs - now) / AVERAGE_MEMORY_NS);
+            recentArrivals *= retained;
+            recentSent *= retained;
+            recentServed *= retained;
+            recentLost *= retained;
+            retained = Math.exp((decayedAtNs - now) / REPORT_MEMORY_NS);
             double units = 0;
-            for (Server s : servers) {
-                units += s.ready() ? s.listed.units() * warmth(s, now) : 0;
-                s.fresh *= keep;
-                s.others = s.fresh * s.heard + (1 - s.fresh) * (1 / usual[zone(s)] - 1);
+            for (Server server : servers) {
+                units += server.ready() ? server.listed.units() * warmth(server, now) : 0;
+                server.fresh *= retained;
+                server.others = server.fresh * server.heard
+                        + (1 - server.fresh) * (1 / averageShareByZone[zoneOf(server)] - 1);
             }
-            part = Math.max(PART_LEAST, UNIT_HOLDS * units / Math.max(1, settings.balancers()));
-            turns.values().removeIf(u -> u.queue.isEmpty() && now >= u.restUntil);
-            agedAt = now;
+            inFlightShare = Math.max(MIN_IN_FLIGHT_SHARE,
+                    IN_FLIGHT_PER_UNIT * units / Math.max(1, settings.balancers()));
+            keyQueues.values().removeIf(keyQueue -> keyQueue.queue.isEmpty() && now >= keyQueue.restUntil);
+            decayedAtNs = now;
         }
     }
 
-    private boolean offer(Ticket t, long now) {
-        if (t.over) { return true; }
-        if (!t.attempts.isEmpty() && !mayAttempt(t, now)) {
-            end(t);
+    private boolean trySend(Ticket pending, long now) {
+        if (pending.over) { return true; }
+        if (!pending.attempts.isEmpty() && !mayRetry(pending, now)) {
+            refuseOrFail(pending);
             return true;
         }
-        boolean held = t.attempts.isEmpty() && !inTurn(t, now) || throttled() || crowded(t);
-        Server s = held || hopeless(t, now) ? null : pick(t, now);
-        if (s != null) {
-            send(t, s, now);
+        boolean mustWait = pending.attempts.isEmpty() && !isNextOfKey(pending, now) || isThrottled()
+                || isCongested(pending);
+        Server server = mustWait || endIfTooLate(pending, now) ? null : selectServer(pending, now);
+        if (server != null) {
+            startAttempt(pending, server, now);
             return true;
         }
-        full = held || !t.attempts.isEmpty() ? full : t.profile;
-        return hopeless(t, now);
+        congestedProfile = mustWait || !pending.attempts.isEmpty() ? congestedProfile : pending.profile;
+        return endIfTooLate(pending, now);
     }
 
-    private boolean throttled() {
-        double unknown = Math.max(THROTTLE_FLOOR, THROTTLE_TRY * arrivals - good);
-        return lost >= THROTTLE_LOST && sent > THROTTLE_RATIO * good + unknown;
+    private boolean isThrottled() {
+        double allowance = Math.max(MIN_THROTTLE_ALLOWANCE,
+                THROTTLED_ARRIVAL_FRACTION * recentArrivals - recentServed);
+        return recentLost >= MIN_LOST_TO_THROTTLE
+                && recentSent > MAX_SENT_PER_SERVED * recentServed + allowance;
     }
 
-    private boolean crowded(Ticket t) {
-        int profile = t.request.profile();
-        return allOut >= part
-                && median[profile] > Math.min(CROWDED * quick[profile], t.profile.promiseNs() / 2.0);
+    private boolean isCongested(Ticket pending) {
+        int profileIndex = pending.request.profile();
+        return totalInFlight >= inFlightShare
+                && medianByProfile[profileIndex] > Math.min(CONGESTION_FACTOR * fastByProfile[profileIndex],
+                pending.profile.promiseNs() / 2.0);
     }
 
-    private boolean hopeless(Ticket t, long now) {
-        double least = (t.held ? median : quick)[t.request.profile()];
-        if (!t.over && (t.aim - now < Math.min(least, t.profile.promiseNs() / 2.0)
-                || now >= t.deadline - HOLD_NS - 2 * settings.stepNs())) {
-            end(t);
+    private boolean endIfTooLate(Ticket pending, long now) {
+        double minNs = (pending.held ? medianByProfile : fastByProfile)[pending.request.profile()];
+        if (!pending.over && (pending.aim - now < Math.min(minNs, pending.profile.promiseNs() / 2.0)
+                || now >= pending.deadline - QUEUE_CHECK_INTERVAL_NS - 2 * settings.stepNs())) {
+            refuseOrFail(pending);
         }
-        return t.over;
+        return pending.over;
     }
 
-    private void arm(long now) {
-        if (!armed && !waiting.isEmpty()) {
-            armed = true;
-            out.timer(now + HOLD_NS, WAIT_TOKEN);
+    private void scheduleQueueCheck(long now) {
+        if (!queueCheckScheduled && !queuedRequests.isEmpty()) {
+            queueCheckScheduled = true;
+            actions.timer(now + QUEUE_CHECK_INTERVAL_NS, QUEUE_TOKEN);
         }
     }
 
-    private void drain(long now) {
-        full = null;
-        waiting.removeIf(t -> t.profile == full ? hopeless(t, now) : offer(t, now));
+    private void processQueue(long now) {
+        congestedProfile = null;
+        queuedRequests.removeIf(pending -> pending.profile == congestedProfile ? endIfTooLate(pending, now)
+                : trySend(pending, now));
     }
 
-    private void send(Ticket t, Server s, long now) {
-        t.attempts.add(new Attempt(s, load(s), now));
-        t.out++;
-        allOut++;
-        s.owedSince = s.out++ == 0 ? now : s.owedSince;
-        s.tokens--;
-        sent++;
-        zoneRate[zone(s)] += 1.0 / zoneReady[zone(s)];
-        boolean cut = settings.mayCancel() && t.profile.lateShare() == 0
-                && !(t.profile.effect() == Effect.DEDUPLICATED && t.profile.scope() == Scope.ALL);
-        out.send(t.request.ticket(), s.id, cut ? Math.max(1, t.aim - now) : 0);
+    private void startAttempt(Ticket pending, Server server, long now) {
+        pending.attempts.add(new Attempt(server, load(server), now));
+        pending.out++;
+        totalInFlight++;
+        server.owedSince = server.out++ == 0 ? now : server.owedSince;
+        server.tokens--;
+        recentSent++;
+        sendRateByZone[zoneOf(server)] += 1.0 / readyCountByZone[zoneOf(server)];
+        boolean timesOutAtAim = settings.mayCancel() && pending.profile.lateShare() == 0
+                && !(pending.profile.effect() == Effect.DEDUPLICATED && pending.profile.scope() == Scope.ALL);
+        actions.send(pending.request.ticket(), server.id, timesOutAtAim ? Math.max(1, pending.aim - now) : 0);
     }
 
-    private boolean mayAttempt(Ticket t, long now) {
-        if (t.over || t.begun || now >= t.aim || t.attempts.size() >= settings.maxAttempts()
-                || now >= t.deadline - settings.stepNs()) {
+    private boolean mayRetry(Ticket pending, long now) {
+        if (pending.over || pending.begun || now >= pending.aim
+                || pending.attempts.size() >= settings.maxAttempts()
+                || now >= pending.deadline - settings.stepNs()) {
             return false;
         }
-        Attempt bound = bound(t);
-        return bound == null || t.profile.effect() == Effect.IDEMPOTENT
-                || t.profile.effect() == Effect.DEDUPLICATED
-                && now - bound.sentAt < t.profile.windowNs() - settings.connectTimeoutNs()
+        Attempt binding = bindingAttempt(pending);
+        return binding == null || pending.profile.effect() == Effect.IDEMPOTENT
+                || pending.profile.effect() == Effect.DEDUPLICATED
+                && now - binding.sentAt < pending.profile.windowNs() - settings.connectTimeoutNs()
                         - 2 * settings.stepNs();
     }
 
-    private void again(Ticket t, long now) {
-        boolean broke = t.attempts.get(t.attempts.size() - 1).ended == Status.RESET;
-        Attempt bound = bound(t);
-        if ((broke ? resends : retries) < 1 || !mayAttempt(t, now)
-                || servers.stream().noneMatch(s -> fit(s, t, bound, now))) {
-            end(t);
+    private void retry(Ticket pending, long now) {
+        boolean wasReset = pending.attempts.get(pending.attempts.size() - 1).ended == Status.RESET;
+        Attempt binding = bindingAttempt(pending);
+        if ((wasReset ? resetRetryBudget : retryBudget) < 1 || !mayRetry(pending, now)
+                || servers.stream().noneMatch(server -> isEligible(server, pending, binding, now))) {
+            refuseOrFail(pending);
             return;
         }
-        if (!offer(t, now)) {
-            if (!broke) {
-                end(t);
+        if (!trySend(pending, now)) {
+            if (!wasReset) {
+                refuseOrFail(pending);
                 return;
             }
-            hold(t, now);
+            enqueue(pending, now);
         }
-        resends -= broke ? 1 : 0;
-        retries -= broke ? 0 : 1;
+        resetRetryBudget -= wasReset ? 1 : 0;
+        retryBudget -= wasReset ? 0 : 1;
     }
 
-    private void end(Ticket t) {
-        if (bound(t) == null || t.profile.effect() == Effect.IDEMPOTENT
-                || t.profile.effect() == Effect.DEDUPLICATED && t.profile.scope() == Scope.ALL) {
-            out.refuse(t.request.ticket(), settings.maxRetryAfterNs());
+    private void refuseOrFail(Ticket pending) {
+        if (bindingAttempt(pending) == null || pending.profile.effect() == Effect.IDEMPOTENT
+                || pending.profile.effect() == Effect.DEDUPLICATED && pending.profile.scope() == Scope.ALL) {
+            actions.refuse(pending.request.ticket(), settings.maxRetryAfterNs());
         } else {
-            out.fail(t.request.ticket());
+            actions.fail(pending.request.ticket());
         }
-        close(t);
+        complete(pending);
     }
 
-    private void close(Ticket t) {
-        t.over = true;
-        if (t.out == 0) {
-            forget(t);
+    private void complete(Ticket pending) {
+        pending.over = true;
+        if (pending.out == 0) {
+            removePending(pending);
         } else if (settings.mayCancel()) {
-            out.cancel(t.request.ticket(), t.attempts.size() - 1);
+            actions.cancel(pending.request.ticket(), pending.attempts.size() - 1);
         }
     }
 
-    private static boolean inTurn(Ticket t, long now) {
-        return t.turn == null || t.turn.queue.peek() == t && now >= t.turn.restUntil;
+    private static boolean isNextOfKey(Ticket pending, long now) {
+        return pending.turn == null || pending.turn.queue.peek() == pending && now >= pending.turn.restUntil;
     }
 
-    private void forget(Ticket t) {
-        tickets.remove(t.request.ticket());
-        if (t.turn != null) { t.turn.queue.remove(t); }
+    private void removePending(Ticket pending) {
+        pendingByTicket.remove(pending.request.ticket());
+        if (pending.turn != null) { pending.turn.queue.remove(pending); }
     }
 
     @Override
     public void onStreamBegun(long now, int ticket, int attempt, int server, long elapsedNs) {
-        Ticket t = tickets.get(ticket);
-        if (t != null) { t.begun = true; }
+        Ticket pending = pendingByTicket.get(ticket);
+        if (pending != null) { pending.begun = true; }
     }
 
     @Override
-    public void onOutcome(long now, Outcome o) {
-        heard(now);
-        Ticket t = tickets.get(o.ticket());
-        if (t == null || o.attempt() >= t.attempts.size() || t.attempts.get(o.attempt()).ended != null) {
+    public void onOutcome(long now, Outcome outcome) {
+        detectPause(now);
+        Ticket pending = pendingByTicket.get(outcome.ticket());
+        if (pending == null || outcome.attempt() >= pending.attempts.size()
+                || pending.attempts.get(outcome.attempt()).ended != null) {
             return;
         }
-        Attempt a = t.attempts.get(o.attempt());
-        a.ended = o.status();
-        t.out--;
-        a.to.out--;
-        allOut--;
-        if (t.turn != null && (o.status() == Status.TIMEOUT || o.status() == Status.RESET
-                || o.status() == Status.CANCELLED)) {
-            t.turn.restUntil = now + settings.turnGapNs();
-        }
-        if (now != wokeAt) { learn(t, a, o, now); }
-        report(a.to, now, o.report());
-        if (o.over() && !t.over) {
-            close(t);
-        } else if (t.over && t.out == 0) {
-            forget(t);
-        } else if (!t.over && t.out == 0) {
-            again(t, now);
-        }
-        drain(now);
-    }
-
-    private void quicken(int z, long elapsed, long now) {
-        double keep = Math.exp((quickestAt[z] - now) / WAY_NS);
-        quickest[z] = Math.min(elapsed, elapsed - keep * (elapsed - quickest[z]));
-        quickestAt[z] = now;
-        double nearest = Arrays.stream(quickest).min().orElse(0);
-        for (int i = 0; i < way.length; i++) {
-            way[i] = quickest[i] == Double.MAX_VALUE ? 0 : quickest[i] - nearest;
-        }
-    }
-
-    private void learn(Ticket t, Attempt a, Outcome o, long now) {
-        Server s = a.to;
-        if (o.status() == Status.OK) {
-            quicken(zone(s), o.elapsedNs(), now);
-            double unit = Math.max(1000, o.elapsedNs() - way[zone(s)]) / (a.ahead + 1);
-            double m = median[t.request.profile()] == 0 ? o.elapsedNs() : median[t.request.profile()];
-            median[t.request.profile()] = m * (o.elapsedNs() > m ? 1 + MEDIAN_STEP : 1 - MEDIAN_STEP);
-            double q = quick[t.request.profile()] == 0 ? o.elapsedNs() : quick[t.request.profile()];
-            quick[t.request.profile()] = q * (o.elapsedNs() > q ? 1 + MEDIAN_STEP * QUICK_SHARE
-                    : 1 - MEDIAN_STEP * (1 - QUICK_SHARE));
-            double work = s.blind && o.report() != null ? 1e6 * o.report().recentMs() : Double.NaN;
-            boolean tardy = o.elapsedNs() > Math.max(t.profile.promiseNs() / 2.0, TARDY * Math.max(m, work));
-            good += tardy ? 0 : 1;
-            lost += tardy ? 1 : 0;
-            s.owedSince = now;
-            s.failures = 0;
-            s.ejected = false;
-            int kind = s.listed.kind() & 255;
-            double keep = Math.exp((s.learntAt - now) / PACE_NS);
-            s.learntAt = now;
-            unit *= warmth(s, now);
-            double gain = 1 - Math.exp((kindAt[kind] - now) / KIND_NS);
-            kindPace[kind] += gain * (unit - kindPace[kind]);
-            kindAt[kind] = now;
-            s.seen = Math.min(PACE_ANSWERS, s.seen * keep + 1);
-            s.ownPace += (unit - s.ownPace) / s.seen;
-            s.pace = (s.seen * s.ownPace + KIND_ANSWERS * kindPace[kind]) / (s.seen + KIND_ANSWERS);
-        }
-        if (o.status() == Status.FULL || o.status() == Status.TIMEOUT || o.status() == Status.CANCELLED) {
-            lost++;
-        } else if (o.status() != Status.OK) {
-            sent = Math.max(0, sent - 1);
-        }
-        if (o.status() == Status.FULL) {
-            crowd(zone(s), Math.max(minPromise, o.elapsedNs()) / s.pace, now);
-        }
-        if (o.status() != Status.OK && o.status() != Status.MOOT && o.status() != Status.TIMEOUT
-                && o.status() != Status.CANCELLED) {
-            s.owedSince = now;
-            if (++s.failures >= EJECT_FAILURES || o.status() == Status.CONNECT_FAILED) {
-                eject(s, now);
+        Attempt completed = pending.attempts.get(outcome.attempt());
+        completed.ended = outcome.status();
+        pending.out--;
+        completed.to.out--;
+        totalInFlight--;
+        if (pending.turn != null && (outcome.status() == Status.TIMEOUT || outcome.status() == Status.RESET
+                || outcome.status() == Status.CANCELLED)) {
+            pending.turn.restUntil = now + settings.turnGapNs();
+        }
+        if (now != resumedAtNs) { updateEstimates(pending, completed, outcome, now); }
+        applyReport(completed.to, now, outcome.report());
+        if (outcome.over() && !pending.over) {
+            complete(pending);
+        } else if (pending.over && pending.out == 0) {
+            removePending(pending);
+        } else if (!pending.over && pending.out == 0) {
+            retry(pending, now);
+        }
+        processQueue(now);
+    }
+
+    private void updateLatency(int zoneIndex, long elapsedNs, long now) {
+        double retained = Math.exp((fastestUpdatedAtNs[zoneIndex] - now) / LATENCY_MEMORY_NS);
+        fastestByZone[zoneIndex] = Math.min(elapsedNs,
+                elapsedNs - retained * (elapsedNs - fastestByZone[zoneIndex]));
+        fastestUpdatedAtNs[zoneIndex] = now;
+        double minFastestNs = Arrays.stream(fastestByZone).min().orElse(0);
+        for (int i = 0; i < latencyByZone.length; i++) {
+            latencyByZone[i] = fastestByZone[i] == Double.MAX_VALUE ? 0 : fastestByZone[i] - minFastestNs;
+        }
+    }
+
+    private void updateEstimates(Ticket pending, Attempt attempt, Outcome outcome, long now) {
+        Server server = attempt.to;
+        if (outcome.status() == Status.OK) {
+            updateLatency(zoneOf(server), outcome.elapsedNs(), now);
+            double serviceTimeNs = Math.max(1000, outcome.elapsedNs() - latencyByZone[zoneOf(server)])
+                    / (attempt.ahead + 1);
+            double medianNs = medianByProfile[pending.request.profile()] == 0 ? outcome.elapsedNs()
+                    : medianByProfile[pending.request.profile()];
+            medianByProfile[pending.request.profile()] = medianNs
+                    * (outcome.elapsedNs() > medianNs ? 1 + QUANTILE_STEP : 1 - QUANTILE_STEP);
+            double fastNs = fastByProfile[pending.request.profile()] == 0 ? outcome.elapsedNs()
+                    : fastByProfile[pending.request.profile()];
+            fastByProfile[pending.request.profile()] = fastNs
+                    * (outcome.elapsedNs() > fastNs ? 1 + QUANTILE_STEP * FAST_QUANTILE
+                    : 1 - QUANTILE_STEP * (1 - FAST_QUANTILE));
+            double reportedNs = server.blind && outcome.report() != null ? 1e6 * outcome.report().recentMs()
+                    : Double.NaN;
+            boolean isLate = outcome.elapsedNs() > Math.max(pending.profile.promiseNs() / 2.0,
+                    LATE_FACTOR * Math.max(medianNs, reportedNs));
+            recentServed += isLate ? 0 : 1;
+            recentLost += isLate ? 1 : 0;
+            server.owedSince = now;
+            server.failures = 0;
+            server.ejected = false;
+            int kind = server.listed.kind() & 255;
+            double retained = Math.exp((server.learntAt - now) / SERVICE_TIME_MEMORY_NS);
+            server.learntAt = now;
+            serviceTimeNs *= warmth(server, now);
+            double gain = 1 - Math.exp((kindUpdatedAtNs[kind] - now) / KIND_MEMORY_NS);
+            serviceTimeByKind[kind] += gain * (serviceTimeNs - serviceTimeByKind[kind]);
+            kindUpdatedAtNs[kind] = now;
+            server.seen = Math.min(MAX_SERVICE_TIME_SAMPLES, server.seen * retained + 1);
+            server.ownPace += (serviceTimeNs - server.ownPace) / server.seen;
+            server.pace = (server.seen * server.ownPace + KIND_SAMPLES * serviceTimeByKind[kind])
+                    / (server.seen + KIND_SAMPLES);
+        }
+        if (outcome.status() == Status.FULL || outcome.status() == Status.TIMEOUT
+                || outcome.status() == Status.CANCELLED) {
+            recentLost++;
+        } else if (outcome.status() != Status.OK) {
+            recentSent = Math.max(0, recentSent - 1);
+        }
+        if (outcome.status() == Status.FULL) {
+            updateAverageShare(zoneOf(server), Math.max(minPromiseNs, outcome.elapsedNs()) / server.pace,
+                    now);
+        }
+        if (outcome.status() != Status.OK && outcome.status() != Status.MOOT
+                && outcome.status() != Status.TIMEOUT
+                && outcome.status() != Status.CANCELLED) {
+            server.owedSince = now;
+            if (++server.failures >= EJECTION_FAILURES || outcome.status() == Status.CONNECT_FAILED) {
+                eject(server, now);
             }
         }
     }
 
     @Override
     public void onWithdrawn(long now, int ticket) {
-        Ticket t = tickets.get(ticket);
-        if (t != null && !t.over) { close(t); }
+        Ticket pending = pendingByTicket.get(ticket);
+        if (pending != null && !pending.over) { complete(pending); }
     }
 
     @Override
     public void onTimer(long now, long token) {
-        heard(now);
-        if (token == PULSE_TOKEN) {
-            out.timer(now + PULSE_NS, PULSE_TOKEN);
-        } else if (token == WAIT_TOKEN) {
-            armed = false;
-            drain(now);
-            arm(now);
-        } else if (token == asked) {
-            ask(now);
+        detectPause(now);
+        if (token == HEARTBEAT_TOKEN) {
+            actions.timer(now + HEARTBEAT_INTERVAL_NS, HEARTBEAT_TOKEN);
+        } else if (token == QUEUE_TOKEN) {
+            queueCheckScheduled = false;
+            processQueue(now);
+            scheduleQueueCheck(now);
+        } else if (token == lastCallToken) {
+            callDiscovery(now);
         }
     }
 }
