--- a/src/test/java/dewstage/PolicyTest.java
+++ b/src/test/java/dewstage/PolicyTest.java
@@ -43,7 +43,7 @@
     // ---- weighted rotation ----
 
     @Test
-    void equalFactorsAreServedInRoundRobinOrder() {
+    void serversWithEqualFactorsAreSelectedInRoundRobinOrder() {
         Rig rig = newRig(Rig.IDEMPOTENT_PROFILE).updateMembers(ListKind.FULL, Rig.readyMembers(3));
         serve(rig, 60, 3, 20, null); // until the subset grows to all three
         List<Integer> order = new ArrayList<>();
--- a/src/test/java/dewstage/ReferencePolicy.java
+++ b/src/test/java/dewstage/ReferencePolicy.java
@@ -246,31 +246,32 @@
                 : settings.startCapacity() + (1 - settings.startCapacity()) * Math.max(0, relativeAge);
     }
 
-    private void applyReport(Server server, long now, Report load) {
-        if (load == null) { return; }
-        server.blind = !Double.isFinite(load.inflight());
-        double requests = Double.isFinite(load.inflight()) ? load.inflight() : load.queue();
-        if (requests >= 0 && requests < MAX_REPORTED_REQUESTS
-                && (requests != server.held || load.util() != server.util)) {
-            server.held = requests;
-            server.util = load.util();
-            double foreignLoad = Math.max(0, requests - server.out) / server.parallel;
+    private void applyReport(Server server, long now, Report loadReport) {
+        if (loadReport == null) { return; }
+        server.blind = !Double.isFinite(loadReport.inflight());
+        double reportedRequests = Double.isFinite(loadReport.inflight()) ? loadReport.inflight()
+                : loadReport.queue();
+        if (reportedRequests >= 0 && reportedRequests < MAX_REPORTED_REQUESTS
+                && (reportedRequests != server.held || loadReport.util() != server.util)) {
+            server.held = reportedRequests;
+            server.util = loadReport.util();
+            double foreignLoad = Math.max(0, reportedRequests - server.out) / server.parallel;
             server.heard += SPARE_CAPACITY_GAIN * (foreignLoad - server.heard);
             server.others = server.heard;
             server.fresh = 1;
             updateAverageShare(zoneOf(server), foreignLoad, now);
         }
-        if (load.perSecond() > 0 && load.util() > 0 && load.perSecond() != server.told) {
-            server.told = load.perSecond();
-            server.rate += CONCURRENCY_GAIN * (load.perSecond() - server.rate);
-            server.busy += CONCURRENCY_GAIN * (Math.min(1, load.util()) - server.busy);
+        if (loadReport.perSecond() > 0 && loadReport.util() > 0 && loadReport.perSecond() != server.told) {
+            server.told = loadReport.perSecond();
+            server.rate += CONCURRENCY_GAIN * (loadReport.perSecond() - server.rate);
+            server.busy += CONCURRENCY_GAIN * (Math.min(1, loadReport.util()) - server.busy);
             server.parallel = Math.max(1, server.rate / server.busy * server.pace / 1e9);
             averageConcurrency += CONCURRENCY_GAIN * (server.parallel - averageConcurrency);
         }
         if (now - server.renewedAt >= FACTOR_UPDATE_INTERVAL_NS) {
-            if (Double.isFinite(load.util())) {
+            if (Double.isFinite(loadReport.util())) {
                 server.spare += SPARE_CAPACITY_GAIN
-                        * (1 - Math.max(0, Math.min(1, load.util())) - server.spare);
+                        * (1 - Math.max(0, Math.min(1, loadReport.util())) - server.spare);
             }
             updateFactor(server, now);
         }
