--- a/src/test/java/dewstage/FleetRig.java
+++ b/src/test/java/dewstage/FleetRig.java
@@ -36,13 +36,13 @@
     record Deployment(int proxyCount, int serverCount, double requestsPerSecond, double load,
             double startCapacity, double coldNs, double tipMultiple, double fallNs) {
         /** Returns the fraction of its capacity that a server of this age has. */
-        double warmth(double ageNs) {
+        double warmFraction(double ageNs) {
             return ageNs >= coldNs ? 1 : startCapacity + (1 - startCapacity) * ageNs / coldNs;
         }
 
         /** Returns the budget of a cold server of this age within fallNs, plus an allowance for chance. */
         double maxRequests(double ageNs) {
-            double expected = tipMultiple * warmth(ageNs) * requestsPerSecond * fallNs / SECOND_NS;
+            double expected = tipMultiple * warmFraction(ageNs) * requestsPerSecond * fallNs / SECOND_NS;
             return expected + 2 * Math.sqrt(expected) + 2;
         }
     }
@@ -155,7 +155,7 @@
             arrivalTimes.add(now);
             inFlight++;
             long serviceTimeNs = (long) (SECOND_NS / deployment.requestsPerSecond()
-                    / deployment.warmth(ageNs()) * (0.5 + random.nextDouble()));
+                    / deployment.warmFraction(ageNs()) * (0.5 + random.nextDouble()));
             idleAtNs = Math.max(now, idleAtNs) + serviceTimeNs;
             return idleAtNs;
         }
--- a/src/test/java/dewstage/PolicyTest.java
+++ b/src/test/java/dewstage/PolicyTest.java
@@ -474,7 +474,7 @@
                 Rig rig = new Rig(Rig.settings(me, balancers, false, Rig.IDEMPOTENT_PROFILE));
                 rig.updateMembers(ListKind.FULL, Rig.readyMembers(3000));
                 assertEquals(1, rig.attemptCount(rig.request()), "a list of 3000 servers");
-                rig.updateMembers(ListKind.FULL, Rig.member(5, 3, READY)); // none in the local zone
+                rig.updateMembers(ListKind.FULL, Rig.member(5, 3, READY)); // none in the own zone
                 int ticket = rig.request();
                 rig.advance(100);
                 assertEquals(5, rig.server(ticket, 0), "the only server, in another zone");
@@ -861,7 +861,7 @@
     }
 
     @Test
-    void fullLocalZoneSpillsOverToIdleRemoteServers() {
+    void fullOwnZoneSpillsOverToIdleServersOfOtherZones() {
         Rig rig = newRig(Rig.IDEMPOTENT_PROFILE)
                 .updateMembers(ListKind.FULL, Rig.member(0, 0, READY), Rig.member(1, 1, READY));
         for (int i = 0; i < 200; i++) { // in pairs: the second sometimes goes to the other zone
@@ -933,7 +933,7 @@
     }
 
     @Test
-    void networkLatencyToARemoteZoneIsNotCountedAsServiceTime() {
+    void networkLatencyToAnotherZoneIsNotCountedAsServiceTime() {
         Rig rig = newRig(Rig.IDEMPOTENT_PROFILE).updateMembers(ListKind.FULL, Rig.member(0, 0, READY));
         serve(rig, 50, 2, 10, null);
         rig.updateMembers(ListKind.FULL, Rig.member(0, 0, State.DRAINING), Rig.member(1, 1, READY));
@@ -944,7 +944,7 @@
     }
 
     @Test
-    void localZoneIsPreferredAndSpillsOverWhenFull() {
+    void ownZoneIsPreferredAndSpillsOverWhenFull() {
         Rig rig = newRig(Rig.IDEMPOTENT_PROFILE)
                 .updateMembers(ListKind.FULL, Rig.member(0, 0, READY), Rig.member(1, 1, READY));
         List<Integer> targets = new ArrayList<>();
@@ -961,7 +961,7 @@
         assertEquals(50, serve(idle, 50, 2, 20, null)[0]);
     }
 
-    /** Returns how many of 200 requests leave a local zone whose server reports a utilization of 0.9. */
+    /** Returns how many of 200 requests leave an own zone whose server reports a utilization of 0.9. */
     private static int requestsLeavingABusyZone(double inFlight) {
         Rig rig = newRig(Rig.IDEMPOTENT_PROFILE)
                 .updateMembers(ListKind.FULL, Rig.member(0, 0, READY), Rig.member(1, 1, READY));
--- a/src/test/java/dewstage/ReferencePolicy.java
+++ b/src/test/java/dewstage/ReferencePolicy.java
@@ -15,85 +15,85 @@
 
 /**
  * A plain reference implementation of the decisions of {@link Policy}, which has to take the same actions. It
- * scans all servers for each selection, list, ejection and decay, where {@link Policy} uses indexes. The
+ * scans all servers for each pick, list, ejection and decay, where {@link Policy} uses indexes. The
  * constants equal those of {@link Policy}, which gives the reasons for them.
  */
 final class ReferencePolicy implements Balancer {
     private static final long FACTOR_UPDATE_INTERVAL_NS = 200_000_000L;
 
-    private static final double SPARE_CAPACITY_GAIN = 0.5;
+    private static final double REPORT_GAIN = 0.5;
 
-    private static final double MIN_SPARE_CAPACITY = 0.1;
+    private static final double MIN_SPARE_FRACTION = 0.1;
 
-    private static final double MAX_SERVICE_TIME_SAMPLES = 10;
+    private static final double SERVICE_TIME_ANSWERS = 10;
     private static final double SERVICE_TIME_MEMORY_NS = 10e9;
-    private static final double KIND_SAMPLES = 4;
+    private static final double KIND_ANSWERS = 4;
 
-    private static final double AVERAGE_MEMORY_NS = 2e9;
+    private static final double LOAD_MEMORY_NS = 2e9;
     private static final double KIND_MEMORY_NS = 5e9;
 
     private static final double LATENCY_MEMORY_NS = 60e9;
 
     private static final double REPORT_MEMORY_NS = 1e9;
-    private static final double MAX_REPORTED_REQUESTS = 1000;
+    private static final double MAX_REPORTED_IN_FLIGHT = 1000;
 
-    private static final double CONCURRENCY_GAIN = 0.2;
+    private static final double PARALLELISM_GAIN = 0.2;
 
     private static final int EJECTION_FAILURES = 4;
 
     private static final double MAX_EJECTED_FRACTION = 0.34;
 
-    private static final double UNRESPONSIVE_SERVICE_TIMES = 6;
+    private static final double UNRESPONSIVE_GAPS = 6;
     private static final double UNRESPONSIVE_PROMISE_FRACTION = 0.8;
 
-    private static final long TRIAL_DELAY_NS = 500_000_000L;
+    private static final long FIRST_TRIAL_DELAY_NS = 500_000_000L;
 
     private static final double COLD_BUDGET_FRACTION = 0.6;
 
     private static final double RETRIES_PER_REQUEST = 0.02;
-    private static final double MAX_SAVED_RETRIES = 5;
+    private static final double MAX_RETRY_BUDGET = 5;
 
-    private static final double RESET_RETRIES_PER_REQUEST = 0.3;
-    private static final double MAX_SAVED_RESET_RETRIES = 10;
+    private static final double RESENDS_PER_REQUEST = 0.3;
+    private static final double MAX_RESEND_BUDGET = 10;
 
-    private static final double ADMISSION_FRACTION = 0.25;
+    private static final double MAX_WORK_AHEAD_FRACTION = 0.25;
 
-    private static final double MAX_SENT_PER_SERVED = 1.2;
-    private static final double MIN_THROTTLE_ALLOWANCE = 1;
+    private static final double MAX_SENDS_PER_SERVED = 1.2;
+    private static final double MIN_EXTRA_SENDS = 1;
     private static final double MIN_LOST_TO_THROTTLE = 0.7;
 
-    private static final double THROTTLED_ARRIVAL_FRACTION = 0.3;
+    private static final double THROTTLED_SEND_FRACTION = 0.3;
 
     private static final double QUANTILE_STEP = 0.05;
 
-    private static final double FAST_QUANTILE = 0.1;
+    private static final double QUICK_QUANTILE = 0.1;
 
-    private static final double LATE_FACTOR = 2;
+    private static final double LATE_MULTIPLE = 2;
 
     private static final double IN_FLIGHT_PER_UNIT = 3;
-    private static final double MIN_IN_FLIGHT_SHARE = 4;
-    private static final double CONGESTION_FACTOR = 4;
+    private static final double MIN_IN_FLIGHT_LIMIT = 4;
+    private static final double SLOW_MULTIPLE = 4;
 
     private static final double MIN_SUBSET_SIZE = 2;
-    private static final double REQUESTS_PER_PROMISE = 2;
+    private static final double REPORTS_PER_PROMISE = 2;
 
     private static final double GOLDEN_RATIO = 0.6180339887;
 
-    private static final long QUEUE_CHECK_INTERVAL_NS = 20_000_000L;
+    private static final long WAITING_CHECK_INTERVAL_NS = 20_000_000L;
 
-    private static final double RATE_MEMORY_NS = 15e9;
-    private static final double MIN_RATE_AGE_NS = 1e9;
+    private static final double SEND_RATE_MEMORY_NS = 15e9;
+    private static final double MIN_SEND_RATE_PERIOD_NS = 1e9;
     private static final long DECAY_INTERVAL_NS = 50_000_000L;
 
-    private static final long CALL_DELAY_NS = 250_000_000L;
+    private static final long FIRST_CALL_RETRY_NS = 250_000_000L;
 
     private static final long CALL_COST_NS = 200_000_000L;
-    private static final double MAX_CALL_SPREAD_FRACTION = 0.2;
+    private static final double CALL_SPREAD_FRACTION = 0.2;
 
     private static final long HEARTBEAT_INTERVAL_NS = 50_000_000L;
 
-    private static final long QUEUE_TOKEN = 1L << 32;
-    private static final long HEARTBEAT_TOKEN = QUEUE_TOKEN + 1;
+    private static final long WAITING_TOKEN = 1L << 32;
+    private static final long HEARTBEAT_TOKEN = WAITING_TOKEN + 1;
 
     private final Settings settings;
     private final Actions actions;
@@ -101,56 +101,56 @@
     private final IntMap<Server> serversById = new IntMap<>();
     private final List<Server> servers = new ArrayList<>();
     /** The index of each server in this proxy's order of its zone, as a fraction from 0 to 1. */
-    private final Map<Server, Double> positions = new HashMap<>();
-    /** The servers that had capacity in the last selection. */
-    private final Set<Server> serversWithCapacity = new HashSet<>();
+    private final Map<Server, Double> windowPositions = new HashMap<>();
+    /** Eligible servers with capacity in the last pick. */
+    private final Set<Server> withCapacity = new HashSet<>();
     private final IntMap<Ticket> pendingByTicket = new IntMap<>();
     private final Map<Long, Turn> keyQueues = new HashMap<>();
-    /** Requests that wait for capacity, those of the highest worth first. */
-    private final List<Ticket> queuedRequests = new ArrayList<>();
-
-    // Indexed by the low 8 bits of the zone or of the machine type.
-    private final double[] sendRateByZone = new double[256];
-    private final double[] averageShareByZone = new double[256];
-    private final double[] serviceTimeByKind = new double[256];
-    private final int[] readyCountByZone = new int[256];
-
-    // Sums over the servers of the local zone (0) and of the other zones (1) in the last selection.
-    private final double[] weightSums = new double[2];
-    private final double[] weightedTimeSums = new double[2];
+    /** Queued requests in descending order of worth; of equal worth the newest first. */
+    private final List<Ticket> waiting = new ArrayList<>();
+
+    // By zone or kind, of which the low 8 bits are the index.
+    private final double[] sendsPerServer = new double[256];
+    private final double[] averageShares = new double[256];
+    private final double[] kindServiceTimeNs = new double[256];
+    private final int[] readyCounts = new int[256];
+
+    // Sums over the servers of the own zone (0) and of the other zones (1) in the last pick.
+    private final double[] totalWeights = new double[2];
+    private final double[] weightedTimesNs = new double[2];
     private final double[] openWeights = new double[2];
-    private final long[] kindUpdatedAtNs = new long[256];
-    private final long[] averageUpdatedAtNs = new long[256];
-
-    private final double[] fastestByZone = new double[256];
-    private final double[] latencyByZone = new double[256];
-    private final long[] fastestUpdatedAtNs = new long[256];
-    /** Median and lower quantile of the response times of each class. */
-    private final double[] medianByProfile;
-    private final double[] fastByProfile;
-    private final long[] maxRemainingByProfile;
+    private final long[] kindLastAnswerAtNs = new long[256];
+    private final long[] averageShareUpdatedAtNs = new long[256];
+
+    private final double[] minResponseTimeNs = new double[256];
+    private final double[] networkLatencyNs = new double[256];
+    private final long[] minResponseTimeUpdatedAtNs = new long[256];
+    /** Estimated median and QUICK_QUANTILE of the response time by class, in ns; 0 at first. */
+    private final double[] medianResponseNs;
+    private final double[] quickResponseNs;
+    private final long[] maxTimeLeftNs;
     private final double meanWorth;
     private final long minPromiseNs;
     private double recentArrivals;
-    private double recentSent;
+    private double recentSends;
     private double recentServed;
     private double recentLost;
-    private double averageConcurrency = 1;
+    private double meanParallelism = 1;
     private double minServiceTimeNs;
-    private double retryBudget = MAX_SAVED_RETRIES / 2;
-    private double resetRetryBudget = MAX_SAVED_RESET_RETRIES / 2;
+    private double retryBudget = MAX_RETRY_BUDGET / 2;
+    private double resendBudget = MAX_RESEND_BUDGET / 2;
     private final long startedAtNs;
     private long decayedAtNs;
     private long lastEventAtNs;
     private long resumedAtNs;
-    private long callDelayNs = CALL_DELAY_NS;
+    private long callRetryDelayNs = FIRST_CALL_RETRY_NS;
 
-    private double inFlightShare = Double.MAX_VALUE;
+    private double inFlightLimit = Double.MAX_VALUE;
     private int totalInFlight;
-    private int lastCallToken;
+    private int callNumber;
 
-    private Profile congestedProfile;
-    private boolean queueCheckScheduled;
+    private Profile profileWithoutCapacity;
+    private boolean isWaitingTimerArmed;
 
     ReferencePolicy(Settings settings, long seed, long now, Actions actions) {
         this.settings = settings;
@@ -158,14 +158,14 @@
         this.random = new SplittableRandom(seed);
         this.minPromiseNs = settings.profiles().stream().mapToLong(Profile::promiseNs).min().orElse(0);
         this.meanWorth = settings.profiles().stream().mapToDouble(Profile::worth).average().orElse(1);
-        this.medianByProfile = new double[settings.profiles().size()];
-        this.fastByProfile = new double[medianByProfile.length];
-        this.maxRemainingByProfile = new long[medianByProfile.length];
-        Arrays.fill(serviceTimeByKind, minPromiseNs / 6.0);
-        Arrays.fill(kindUpdatedAtNs, now);
-        Arrays.fill(fastestByZone, Double.MAX_VALUE);
-        Arrays.fill(averageShareByZone, 1);
-        Arrays.fill(averageUpdatedAtNs, now);
+        this.medianResponseNs = new double[settings.profiles().size()];
+        this.quickResponseNs = new double[medianResponseNs.length];
+        this.maxTimeLeftNs = new long[medianResponseNs.length];
+        Arrays.fill(kindServiceTimeNs, minPromiseNs / 6.0);
+        Arrays.fill(kindLastAnswerAtNs, now);
+        Arrays.fill(minResponseTimeNs, Double.MAX_VALUE);
+        Arrays.fill(averageShares, 1);
+        Arrays.fill(averageShareUpdatedAtNs, now);
         this.startedAtNs = now;
         this.decayedAtNs = now;
         this.lastEventAtNs = now;
@@ -179,52 +179,52 @@
     }
 
     private void scheduleCall(long at) {
-        actions.timer(at, ++lastCallToken);
+        actions.timer(at, ++callNumber);
     }
 
     @Override
     public void onMembers(long now, ListKind kind, long version, List<Member> members) {
         if (kind == ListKind.FAILED) {
-            long spreadNs = Math.max(callDelayNs, Math.min(settings.balancers() * CALL_COST_NS,
-                    (long) (settings.askWithinNs() * MAX_CALL_SPREAD_FRACTION)));
-            scheduleCall(now + callDelayNs / 2 + (long) (spreadNs * random.nextDouble()));
-            callDelayNs = Math.min(callDelayNs * 2, 8 * CALL_DELAY_NS);
+            long spreadNs = Math.max(callRetryDelayNs, Math.min(settings.balancers() * CALL_COST_NS,
+                    (long) (settings.askWithinNs() * CALL_SPREAD_FRACTION)));
+            scheduleCall(now + callRetryDelayNs / 2 + (long) (spreadNs * random.nextDouble()));
+            callRetryDelayNs = Math.min(callRetryDelayNs * 2, 8 * FIRST_CALL_RETRY_NS);
             return;
         }
         if (kind != ListKind.CACHED) {
-            lastCallToken++;
-            callDelayNs = CALL_DELAY_NS;
+            callNumber++;
+            callRetryDelayNs = FIRST_CALL_RETRY_NS;
         }
         for (Server server : servers) {
             server.named &= kind == ListKind.DELTA;
         }
-        for (Member member : members) {
-            Server server = serversById.get(member.id());
-            if (server == null || member.bootNs() > server.bootNs) { server = addServer(member, now); }
-            server.listed = member;
+        for (Member entry : members) {
+            Server server = serversById.get(entry.id());
+            if (server == null || entry.bootNs() > server.bootNs) { server = registerStarted(entry, now); }
+            server.listed = entry;
             server.named = true;
         }
-        Arrays.fill(readyCountByZone, 0);
+        Arrays.fill(readyCounts, 0);
         servers.sort(Comparator.comparingInt(server -> server.id));
         for (Iterator<Server> remaining = servers.iterator(); remaining.hasNext();) {
             Server server = remaining.next();
-            server.rank = readyCountByZone[zoneOf(server)];
-            readyCountByZone[zoneOf(server)] += server.ready() ? 1 : 0;
+            server.rank = readyCounts[zoneIndex(server)];
+            readyCounts[zoneIndex(server)] += server.ready() ? 1 : 0;
             if (server.out == 0 && (!server.named || server.listed.state() == State.GONE)) {
                 remaining.remove();
                 serversById.remove(server.id);
             }
         }
-        positions.clear();
+        windowPositions.clear();
         for (Server server : servers) {
-            double position = server.rank / (double) Math.max(1, readyCountByZone[zoneOf(server)])
+            double position = server.rank / (double) Math.max(1, readyCounts[zoneIndex(server)])
                     + settings.me() * GOLDEN_RATIO;
-            positions.put(server, position - Math.floor(position));
+            windowPositions.put(server, position - Math.floor(position));
         }
     }
 
-    private Server addServer(Member member, long now) {
-        Server server = new Server(member, serviceTimeByKind[member.kind() & 255], averageConcurrency, now);
+    private Server registerStarted(Member entry, long now) {
+        Server server = new Server(entry, kindServiceTimeNs[entry.kind() & 255], meanParallelism, now);
         server.named = true;
         Server previous = serversById.get(server.id);
         if (previous != null) { servers.remove(previous); }
@@ -236,58 +236,55 @@
         return server;
     }
 
-    private static int zoneOf(Server server) {
+    private static int zoneIndex(Server server) {
         return server.listed.zone() & 255;
     }
 
-    private double warmth(Server server, long now) {
-        double relativeAge = (now - server.bootNs) / (double) settings.coldNs();
-        return server.bootNs <= 0 || relativeAge >= 1 ? 1
-                : settings.startCapacity() + (1 - settings.startCapacity()) * Math.max(0, relativeAge);
+    private double warmFraction(Server server, long now) {
+        double coldFraction = (now - server.bootNs) / (double) settings.coldNs();
+        return server.bootNs <= 0 || coldFraction >= 1 ? 1
+                : settings.startCapacity() + (1 - settings.startCapacity()) * Math.max(0, coldFraction);
     }
 
-    private void applyReport(Server server, long now, Report loadReport) {
-        if (loadReport == null) { return; }
-        server.blind = !Double.isFinite(loadReport.inflight());
-        double reportedRequests = Double.isFinite(loadReport.inflight()) ? loadReport.inflight()
-                : loadReport.queue();
-        if (reportedRequests >= 0 && reportedRequests < MAX_REPORTED_REQUESTS
-                && (reportedRequests != server.held || loadReport.util() != server.util)) {
-            server.held = reportedRequests;
-            server.util = loadReport.util();
-            double foreignLoad = Math.max(0, reportedRequests - server.out) / server.parallel;
-            server.heard += SPARE_CAPACITY_GAIN * (foreignLoad - server.heard);
+    private void applyReport(Server server, long now, Report report) {
+        if (report == null) { return; }
+        server.blind = !Double.isFinite(report.inflight());
+        double reported = Double.isFinite(report.inflight()) ? report.inflight() : report.queue();
+        if (reported >= 0 && reported < MAX_REPORTED_IN_FLIGHT
+                && (reported != server.held || report.util() != server.util)) {
+            server.held = reported;
+            server.util = report.util();
+            double otherLoad = Math.max(0, reported - server.out) / server.parallel;
+            server.heard += REPORT_GAIN * (otherLoad - server.heard);
             server.others = server.heard;
             server.fresh = 1;
-            updateAverageShare(zoneOf(server), foreignLoad, now);
+            updateZoneLoad(zoneIndex(server), otherLoad, now);
         }
-        if (loadReport.perSecond() > 0 && loadReport.util() > 0 && loadReport.perSecond() != server.told) {
-            server.told = loadReport.perSecond();
-            server.rate += CONCURRENCY_GAIN * (loadReport.perSecond() - server.rate);
-            server.busy += CONCURRENCY_GAIN * (Math.min(1, loadReport.util()) - server.busy);
+        if (report.perSecond() > 0 && report.util() > 0 && report.perSecond() != server.told) {
+            server.told = report.perSecond();
+            server.rate += PARALLELISM_GAIN * (report.perSecond() - server.rate);
+            server.busy += PARALLELISM_GAIN * (Math.min(1, report.util()) - server.busy);
             server.parallel = Math.max(1, server.rate / server.busy * server.pace / 1e9);
-            averageConcurrency += CONCURRENCY_GAIN * (server.parallel - averageConcurrency);
+            meanParallelism += PARALLELISM_GAIN * (server.parallel - meanParallelism);
         }
         if (now - server.renewedAt >= FACTOR_UPDATE_INTERVAL_NS) {
-            if (Double.isFinite(loadReport.util())) {
-                server.spare += SPARE_CAPACITY_GAIN
-                        * (1 - Math.max(0, Math.min(1, loadReport.util())) - server.spare);
+            if (Double.isFinite(report.util())) {
+                server.spare += REPORT_GAIN * (1 - Math.max(0, Math.min(1, report.util())) - server.spare);
             }
             updateFactor(server, now);
         }
     }
 
-    private void updateAverageShare(int zoneIndex, double foreignLoad, long now) {
-        averageShareByZone[zoneIndex] += (1
-                - Math.exp((averageUpdatedAtNs[zoneIndex] - now) / AVERAGE_MEMORY_NS))
-                * (1 / (1 + foreignLoad) - averageShareByZone[zoneIndex]);
-        averageUpdatedAtNs[zoneIndex] = now;
+    private void updateZoneLoad(int zone, double otherLoad, long now) {
+        averageShares[zone] += (1 - Math.exp((averageShareUpdatedAtNs[zone] - now) / LOAD_MEMORY_NS))
+                * (1 / (1 + otherLoad) - averageShares[zone]);
+        averageShareUpdatedAtNs[zone] = now;
     }
 
     private void updateFactor(Server server, long now) {
         server.renewedAt = now;
         server.factor = minPromiseNs / server.pace * server.parallel
-                * Math.max(MIN_SPARE_CAPACITY, server.spare) * warmth(server, now);
+                * Math.max(MIN_SPARE_FRACTION, server.spare) * warmFraction(server, now);
     }
 
     private static double load(Server server) {
@@ -295,62 +292,62 @@
     }
 
     private static double weight(Server server) {
-        double queueLength = 1 + load(server);
-        return server.factor / (queueLength * queueLength * queueLength * queueLength);
+        double occupancy = 1 + load(server);
+        return server.factor / (occupancy * occupancy * occupancy * occupancy);
     }
 
     private boolean isUnresponsive(Server server, long now) {
         return server.out > 0
                 && now - server.owedSince > minPromiseNs * UNRESPONSIVE_PROMISE_FRACTION
-                + latencyByZone[zoneOf(server)]
-                + UNRESPONSIVE_SERVICE_TIMES * server.pace * (1 + server.others / server.out);
+                + networkLatencyNs[zoneIndex(server)]
+                + UNRESPONSIVE_GAPS * server.pace * (1 + server.others / server.out);
     }
 
     private void eject(Server server, long now) {
         long readyCount = servers.stream().filter(Server::ready).count();
         long ejectedCount = servers.stream().filter(other -> other.ready() && other.ejected).count();
         if (server.ejected || ejectedCount + 1 <= readyCount * MAX_EJECTED_FRACTION) {
-            server.trialPause = server.ejected ? Math.min(server.trialPause * 2, 4 * TRIAL_DELAY_NS)
-                    : TRIAL_DELAY_NS;
+            server.trialPause = server.ejected ? Math.min(server.trialPause * 2, 4 * FIRST_TRIAL_DELAY_NS)
+                    : FIRST_TRIAL_DELAY_NS;
             server.trialAt = now + server.trialPause;
             server.ejected = true;
         }
     }
 
-    private void ejectForTrial(Server server, long now) {
+    private void ejectWithImmediateTrial(Server server, long now) {
         eject(server, now);
         server.trialAt = now;
-        server.trialPause = TRIAL_DELAY_NS / 2;
+        server.trialPause = FIRST_TRIAL_DELAY_NS / 2;
     }
 
     private boolean hasColdBudget(Server server, long now) {
-        double currentWarmth = warmth(server, now);
-        if (currentWarmth >= 1) { return true; }
-        double rateAgeNs = RATE_MEMORY_NS
-                * (1 - Math.exp(-Math.max(MIN_RATE_AGE_NS, now - startedAtNs) / RATE_MEMORY_NS));
-        double ownRate = sendRateByZone[zoneOf(server)] / rateAgeNs
-                * Math.max(1, readyCountByZone[zoneOf(server)] / subsetSize());
-        double idleFraction = Math.min(1, 2 * Math.max(MIN_SPARE_CAPACITY, server.spare));
-        double budgetRate = COLD_BUDGET_FRACTION * idleFraction
-                * Math.max(ownRate * settings.tipMultiple() * currentWarmth,
+        double warmFraction = warmFraction(server, now);
+        if (warmFraction >= 1) { return true; }
+        double memoryNs = SEND_RATE_MEMORY_NS
+                * (1 - Math.exp(-Math.max(MIN_SEND_RATE_PERIOD_NS, now - startedAtNs) / SEND_RATE_MEMORY_NS));
+        double ownSendsPerNs = sendsPerServer[zoneIndex(server)] / memoryNs
+                * Math.max(1, readyCounts[zoneIndex(server)] / subsetSize());
+        double idleFraction = Math.min(1, 2 * Math.max(MIN_SPARE_FRACTION, server.spare));
+        double tokensPerNs = COLD_BUDGET_FRACTION * idleFraction
+                * Math.max(ownSendsPerNs * settings.tipMultiple() * warmFraction,
                 1.0 / settings.fallNs() / Math.max(1, settings.balancers()));
-        server.tokens = Math.min(Math.max(1, budgetRate * settings.fallNs() / 2),
-                server.tokens + budgetRate * (now - server.tokensAt));
+        server.tokens = Math.min(Math.max(1, tokensPerNs * settings.fallNs() / 2),
+                server.tokens + tokensPerNs * (now - server.tokensAt));
         server.tokensAt = now;
         return server.tokens >= 1;
     }
 
     private double subsetSize() {
-        double observable = recentArrivals * minPromiseNs / AVERAGE_MEMORY_NS / REQUESTS_PER_PROMISE;
-        return Math.max(observable,
+        double reportingServers = recentArrivals * minPromiseNs / LOAD_MEMORY_NS / REPORTS_PER_PROMISE;
+        return Math.max(reportingServers,
                 MIN_SUBSET_SIZE * Math.max(1, servers.size() / (double) settings.balancers()));
     }
 
     private Attempt bindingAttempt(Ticket pending) {
         for (Attempt attempt : pending.attempts) {
-            boolean provenNotRun = attempt.ended != null && attempt.ended.neverRan
+            boolean certainlyNeverRan = attempt.ended != null && attempt.ended.neverRan
                     && !(attempt.ended == Status.FULL && settings.fullIsNoProof());
-            if (!provenNotRun) { return attempt; }
+            if (!certainlyNeverRan) { return attempt; }
         }
         return null;
     }
@@ -364,31 +361,30 @@
                 || pending.profile.scope() == Scope.ALL) {
             return true;
         }
-        return zoneOf(server) == zoneOf(binding.to)
+        return zoneIndex(server) == zoneIndex(binding.to)
                 && (pending.profile.scope() == Scope.ZONE
                 || server.listed.cell() == binding.to.listed.cell());
     }
 
-    private Server selectServer(Ticket pending, long now) {
-        Server server = selectServer(pending, pending.attempts.size() > 0, now);
-        return server == null && minServiceTimeNs == Double.MAX_VALUE ? selectServer(pending, true, now)
-                : server;
+    private Server pick(Ticket pending, long now) {
+        Server server = pick(pending, pending.attempts.size() > 0, now);
+        return server == null && minServiceTimeNs == Double.MAX_VALUE ? pick(pending, true, now) : server;
     }
 
-    private Server selectServer(Ticket pending, boolean wide, long now) {
-        Arrays.fill(weightSums, 0);
-        Arrays.fill(weightedTimeSums, 0);
+    private Server pick(Ticket pending, boolean isWide, long now) {
+        Arrays.fill(totalWeights, 0);
+        Arrays.fill(weightedTimesNs, 0);
         Arrays.fill(openWeights, 0);
         minServiceTimeNs = Double.MAX_VALUE;
-        double maxQueueNs = (pending.aim - now) * ADMISSION_FRACTION;
-        serversWithCapacity.clear();
+        double maxWorkNs = (pending.aim - now) * MAX_WORK_AHEAD_FRACTION;
+        withCapacity.clear();
         Attempt binding = bindingAttempt(pending);
-        double width = wide ? Double.MAX_VALUE : subsetSize();
+        double width = isWide ? Double.MAX_VALUE : subsetSize();
         for (Server server : servers) {
-            int side = zoneOf(server) == settings.zone() ? 0 : 1;
-            if (!(positions.get(server) * readyCountByZone[zoneOf(server)] < width - side
+            int side = zoneIndex(server) == settings.zone() ? 0 : 1;
+            if (!(windowPositions.get(server) * readyCounts[zoneIndex(server)] < width - side
                     && isEligible(server, pending, binding, now))) { continue; }
-            if (!server.ejected && isUnresponsive(server, now)) { ejectForTrial(server, now); }
+            if (!server.ejected && isUnresponsive(server, now)) { ejectWithImmediateTrial(server, now); }
             if (server.ejected) {
                 if (now >= server.trialAt && binding == null
                         && (server.out == 0 || pending.profile.effect() != Effect.AT_MOST_ONCE)) {
@@ -397,25 +393,25 @@
                 }
                 continue;
             }
-            double serviceTimeNs = server.pace / warmth(server, now);
+            double currentTimeNs = server.pace / warmFraction(server, now);
             minServiceTimeNs = Math.min(minServiceTimeNs, server.pace);
-            weightSums[side] += weight(server);
-            double queueFactor = server.blind ? 1 / Math.max(MIN_SPARE_CAPACITY, server.spare) : 1;
-            weightedTimeSums[side] += weight(server)
-                    * (latencyByZone[zoneOf(server)] + serviceTimeNs * (load(server) + 1) * queueFactor);
-            if (serviceTimeNs * load(server) <= maxQueueNs
-                    - latencyByZone[zoneOf(server)] * ADMISSION_FRACTION) {
-                serversWithCapacity.add(server);
+            totalWeights[side] += weight(server);
+            double waitFactor = server.blind ? 1 / Math.max(MIN_SPARE_FRACTION, server.spare) : 1;
+            weightedTimesNs[side] += weight(server)
+                    * (networkLatencyNs[zoneIndex(server)] + currentTimeNs * (load(server) + 1) * waitFactor);
+            if (currentTimeNs * load(server) <= maxWorkNs
+                    - networkLatencyNs[zoneIndex(server)] * MAX_WORK_AHEAD_FRACTION) {
+                withCapacity.add(server);
                 openWeights[side] += weight(server);
             }
         }
-        boolean crossesZones = openWeights[0] == 0
+        boolean usesOtherZones = openWeights[0] == 0
                 || expectedLoss(0, pending, now) - expectedLoss(1, pending, now) > settings.crossZonePrice();
         Server best = null;
-        double totalWeight = openWeights[0] + (crossesZones ? openWeights[1] : 0);
+        double totalOpenWeight = openWeights[0] + (usesOtherZones ? openWeights[1] : 0);
         for (Server server : servers) {
-            if (serversWithCapacity.contains(server) && (crossesZones || zoneOf(server) == settings.zone())) {
-                server.tally += weight(server) / totalWeight;
+            if (withCapacity.contains(server) && (usesOtherZones || zoneIndex(server) == settings.zone())) {
+                server.tally += weight(server) / totalOpenWeight;
                 best = best == null || server.tally > best.tally ? server : best;
             }
         }
@@ -424,7 +420,7 @@
     }
 
     private double expectedLoss(int side, Ticket pending, long now) {
-        double expectedTimeNs = weightSums[side] > 0 ? weightedTimeSums[side] / weightSums[side]
+        double expectedTimeNs = totalWeights[side] > 0 ? weightedTimesNs[side] / totalWeights[side]
                 : Double.MAX_VALUE;
         double missProbability = Math.exp(-Math.max(1, pending.aim - now) / Math.max(1, expectedTimeNs));
         return missProbability * pending.profile.worth() / meanWorth * (1 - pending.profile.lateShare());
@@ -438,11 +434,10 @@
         lastEventAtNs = now;
     }
 
-    private long usefulUntil(Request request, Profile requestClass, long now) {
-        maxRemainingByProfile[request.profile()] = Math.max(maxRemainingByProfile[request.profile()],
-                request.leftNs());
+    private long targetTimeNs(Request request, Profile requestClass, long now) {
+        maxTimeLeftNs[request.profile()] = Math.max(maxTimeLeftNs[request.profile()], request.leftNs());
         long waitedNs = request.repeat()
-                && request.leftNs() < maxRemainingByProfile[request.profile()] - settings.stepNs()
+                && request.leftNs() < maxTimeLeftNs[request.profile()] - settings.stepNs()
                 ? requestClass.giveUpNs() - request.leftNs() : 0;
         return now + Math.min(request.leftNs(), requestClass.promiseNs() - waitedNs);
     }
@@ -450,52 +445,51 @@
     @Override
     public void onRequest(long now, Request request) {
         detectPause(now);
-        decayEstimates(now);
+        decayAverages(now);
         recentArrivals++;
         Profile profile = settings.profiles().get(request.profile());
-        Ticket pending = new Ticket(request, profile, usefulUntil(request, profile, now),
+        Ticket pending = new Ticket(request, profile, targetTimeNs(request, profile, now),
                 now + request.leftNs());
         pendingByTicket.put(request.ticket(), pending);
         if (pending.profile.sequential() && request.key() != 0) {
             pending.turn = keyQueues.computeIfAbsent(request.key(), k -> new Turn());
             pending.turn.queue.add(pending);
         }
-        retryBudget = Math.min(MAX_SAVED_RETRIES, retryBudget + RETRIES_PER_REQUEST);
-        resetRetryBudget = Math.min(MAX_SAVED_RESET_RETRIES, resetRetryBudget + RESET_RETRIES_PER_REQUEST);
+        retryBudget = Math.min(MAX_RETRY_BUDGET, retryBudget + RETRIES_PER_REQUEST);
+        resendBudget = Math.min(MAX_RESEND_BUDGET, resendBudget + RESENDS_PER_REQUEST);
         if (!trySend(pending, now)) { enqueue(pending, now); }
     }
 
     private void enqueue(Ticket pending, long now) {
         pending.held = true;
-        int index = queuedRequests.size();
-        while (index > 0
-                && queuedRequests.get(index - 1).profile.worth() <= pending.profile.worth()) { index--; }
-        queuedRequests.add(index, pending);
-        scheduleQueueCheck(now);
+        int index = waiting.size();
+        while (index > 0 && waiting.get(index - 1).profile.worth() <= pending.profile.worth()) { index--; }
+        waiting.add(index, pending);
+        armWaitingTimer(now);
     }
 
-    private void decayEstimates(long now) {
+    private void decayAverages(long now) {
         if (now - decayedAtNs > DECAY_INTERVAL_NS) {
-            double retained = Math.exp((decayedAtNs - now) / RATE_MEMORY_NS);
-            double retainedAverage = Math.exp((decayedAtNs - now) / KIND_MEMORY_NS);
-            for (int zoneIndex = 0; zoneIndex < sendRateByZone.length; zoneIndex++) {
-                sendRateByZone[zoneIndex] *= retained;
-                averageShareByZone[zoneIndex] = 1 - retainedAverage * (1 - averageShareByZone[zoneIndex]);
+            double retained = Math.exp((decayedAtNs - now) / SEND_RATE_MEMORY_NS);
+            double retainedShare = Math.exp((decayedAtNs - now) / KIND_MEMORY_NS);
+            for (int zone = 0; zone < sendsPerServer.length; zone++) {
+                sendsPerServer[zone] *= retained;
+                averageShares[zone] = 1 - retainedShare * (1 - averageShares[zone]);
             }
-            retained = Math.exp((decayedAtNs - now) / AVERAGE_MEMORY_NS);
+            retained = Math.exp((decayedAtNs - now) / LOAD_MEMORY_NS);
             recentArrivals *= retained;
-            recentSent *= retained;
+            recentSends *= retained;
             recentServed *= retained;
             recentLost *= retained;
             retained = Math.exp((decayedAtNs - now) / REPORT_MEMORY_NS);
             double units = 0;
             for (Server server : servers) {
-                units += server.ready() ? server.listed.units() * warmth(server, now) : 0;
+                units += server.ready() ? server.listed.units() * warmFraction(server, now) : 0;
                 server.fresh *= retained;
                 server.others = server.fresh * server.heard
-                        + (1 - server.fresh) * (1 / averageShareByZone[zoneOf(server)] - 1);
+                        + (1 - server.fresh) * (1 / averageShares[zoneIndex(server)] - 1);
             }
-            inFlightShare = Math.max(MIN_IN_FLIGHT_SHARE,
+            inFlightLimit = Math.max(MIN_IN_FLIGHT_LIMIT,
                     IN_FLIGHT_PER_UNIT * units / Math.max(1, settings.balancers()));
             keyQueues.values().removeIf(keyQueue -> keyQueue.queue.isEmpty() && now >= keyQueue.restUntil);
             decayedAtNs = now;
@@ -504,71 +498,73 @@
 
     private boolean trySend(Ticket pending, long now) {
         if (pending.over) { return true; }
-        if (!pending.attempts.isEmpty() && !mayRetry(pending, now)) {
-            refuseOrFail(pending);
+        if (!pending.attempts.isEmpty() && !mayAttempt(pending, now)) {
+            finishUnserved(pending);
             return true;
         }
         boolean mustWait = pending.attempts.isEmpty() && !isNextOfKey(pending, now) || isThrottled()
-                || isCongested(pending);
-        Server server = mustWait || endIfTooLate(pending, now) ? null : selectServer(pending, now);
+                || isOverInFlightLimit(pending);
+        Server server = mustWait || finishIfTooLate(pending, now) ? null : pick(pending, now);
         if (server != null) {
-            startAttempt(pending, server, now);
+            send(pending, server, now);
             return true;
         }
-        congestedProfile = mustWait || !pending.attempts.isEmpty() ? congestedProfile : pending.profile;
-        return endIfTooLate(pending, now);
+        profileWithoutCapacity = mustWait || !pending.attempts.isEmpty() ? profileWithoutCapacity
+                : pending.profile;
+        return finishIfTooLate(pending, now);
     }
 
     private boolean isThrottled() {
-        double allowance = Math.max(MIN_THROTTLE_ALLOWANCE,
-                THROTTLED_ARRIVAL_FRACTION * recentArrivals - recentServed);
+        double extraSends = Math.max(MIN_EXTRA_SENDS,
+                THROTTLED_SEND_FRACTION * recentArrivals - recentServed);
         return recentLost >= MIN_LOST_TO_THROTTLE
-                && recentSent > MAX_SENT_PER_SERVED * recentServed + allowance;
+                && recentSends > MAX_SENDS_PER_SERVED * recentServed + extraSends;
     }
 
-    private boolean isCongested(Ticket pending) {
+    private boolean isOverInFlightLimit(Ticket pending) {
         int profileIndex = pending.request.profile();
-        return totalInFlight >= inFlightShare
-                && medianByProfile[profileIndex] > Math.min(CONGESTION_FACTOR * fastByProfile[profileIndex],
+        return totalInFlight >= inFlightLimit
+                && medianResponseNs[profileIndex] > Math.min(SLOW_MULTIPLE * quickResponseNs[profileIndex],
                 pending.profile.promiseNs() / 2.0);
     }
 
-    private boolean endIfTooLate(Ticket pending, long now) {
-        double minNs = (pending.held ? medianByProfile : fastByProfile)[pending.request.profile()];
-        if (!pending.over && (pending.aim - now < Math.min(minNs, pending.profile.promiseNs() / 2.0)
-                || now >= pending.deadline - QUEUE_CHECK_INTERVAL_NS - 2 * settings.stepNs())) {
-            refuseOrFail(pending);
+    private boolean finishIfTooLate(Ticket pending, long now) {
+        double minTimeNs = (pending.held ? medianResponseNs : quickResponseNs)[pending.request.profile()];
+        if (!pending.over && (pending.aim - now < Math.min(minTimeNs, pending.profile.promiseNs() / 2.0)
+                || now >= pending.deadline - WAITING_CHECK_INTERVAL_NS - 2 * settings.stepNs())) {
+            finishUnserved(pending);
         }
         return pending.over;
     }
 
-    private void scheduleQueueCheck(long now) {
-        if (!queueCheckScheduled && !queuedRequests.isEmpty()) {
-            queueCheckScheduled = true;
-            actions.timer(now + QUEUE_CHECK_INTERVAL_NS, QUEUE_TOKEN);
+    private void armWaitingTimer(long now) {
+        if (!isWaitingTimerArmed && !waiting.isEmpty()) {
+            isWaitingTimerArmed = true;
+            actions.timer(now + WAITING_CHECK_INTERVAL_NS, WAITING_TOKEN);
         }
     }
 
-    private void processQueue(long now) {
-        congestedProfile = null;
-        queuedRequests.removeIf(pending -> pending.profile == congestedProfile ? endIfTooLate(pending, now)
+    private void sendWaiting(long now) {
+        profileWithoutCapacity = null;
+        waiting.removeIf(pending -> pending.profile == profileWithoutCapacity ? finishIfTooLate(pending, now)
                 : trySend(pending, now));
     }
 
-    private void startAttempt(Ticket pending, Server server, long now) {
+    private void send(Ticket pending, Server server, long now) {
         pending.attempts.add(new Attempt(server, load(server), now));
         pending.out++;
         totalInFlight++;
         server.owedSince = server.out++ == 0 ? now : server.owedSince;
         server.tokens--;
-        recentSent++;
-        sendRateByZone[zoneOf(server)] += 1.0 / readyCountByZone[zoneOf(server)];
-        boolean timesOutAtAim = settings.mayCancel() && pending.profile.lateShare() == 0
+        recentSends++;
+        sendsPerServer[zoneIndex(server)] += 1.0 / readyCounts[zoneIndex(server)];
+        boolean isCancelledWhenLate = settings.mayCancel() && pending.profile.lateShare() == 0
                 && !(pending.profile.effect() == Effect.DEDUPLICATED && pending.profile.scope() == Scope.ALL);
-        actions.send(pending.request.ticket(), server.id, timesOutAtAim ? Math.max(1, pending.aim - now) : 0);
+        actions.send(pending.request.ticket(), server.id, isCancelledWhenLate ? Math.max(1, pending.aim - now)
+                : 0);
     }
 
-    private boolean mayRetry(Ticket pending, long now) {
+    private boolean mayAttempt(Ticket pending, long now) {
         if (pending.over || pending.begun || now >= pending.aim
                 || pending.attempts.size() >= settings.maxAttempts()
                 || now >= pending.deadline - settings.stepNs()) {
@@ -581,39 +577,39 @@
                         - 2 * settings.stepNs();
     }
 
-    private void retry(Ticket pending, long now) {
+    private void retryOrFinish(Ticket pending, long now) {
         boolean wasReset = pending.attempts.get(pending.attempts.size() - 1).ended == Status.RESET;
         Attempt binding = bindingAttempt(pending);
-        if ((wasReset ? resetRetryBudget : retryBudget) < 1 || !mayRetry(pending, now)
+        if ((wasReset ? resendBudget : retryBudget) < 1 || !mayAttempt(pending, now)
                 || servers.stream().noneMatch(server -> isEligible(server, pending, binding, now))) {
-            refuseOrFail(pending);
+            finishUnserved(pending);
             return;
         }
         if (!trySend(pending, now)) {
             if (!wasReset) {
-                refuseOrFail(pending);
+                finishUnserved(pending);
                 return;
             }
             enqueue(pending, now);
         }
-        resetRetryBudget -= wasReset ? 1 : 0;
+        resendBudget -= wasReset ? 1 : 0;
         retryBudget -= wasReset ? 0 : 1;
     }
 
-    private void refuseOrFail(Ticket pending) {
+    private void finishUnserved(Ticket pending) {
         if (bindingAttempt(pending) == null || pending.profile.effect() == Effect.IDEMPOTENT
                 || pending.profile.effect() == Effect.DEDUPLICATED && pending.profile.scope() == Scope.ALL) {
             actions.refuse(pending.request.ticket(), settings.maxRetryAfterNs());
         } else {
             actions.fail(pending.request.ticket());
         }
-        complete(pending);
+        finish(pending);
     }
 
-    private void complete(Ticket pending) {
+    private void finish(Ticket pending) {
         pending.over = true;
         if (pending.out == 0) {
-            removePending(pending);
+            discard(pending);
         } else if (settings.mayCancel()) {
             actions.cancel(pending.request.ticket(), pending.attempts.size() - 1);
         }
@@ -623,7 +619,7 @@
         return pending.turn == null || pending.turn.queue.peek() == pending && now >= pending.turn.restUntil;
     }
 
-    private void removePending(Ticket pending) {
+    private void discard(Ticket pending) {
         pendingByTicket.remove(pending.request.ticket());
         if (pending.turn != null) { pending.turn.queue.remove(pending); }
     }
@@ -651,48 +647,49 @@
                 || outcome.status() == Status.CANCELLED)) {
             pending.turn.restUntil = now + settings.turnGapNs();
         }
-        if (now != resumedAtNs) { updateEstimates(pending, completed, outcome, now); }
+        if (now != resumedAtNs) { learnFromOutcome(pending, completed, outcome, now); }
         applyReport(completed.to, now, outcome.report());
         if (outcome.over() && !pending.over) {
-            complete(pending);
+            finish(pending);
         } else if (pending.over && pending.out == 0) {
-            removePending(pending);
+            discard(pending);
         } else if (!pending.over && pending.out == 0) {
-            retry(pending, now);
+            retryOrFinish(pending, now);
         }
-        processQueue(now);
+        sendWaiting(now);
     }
 
-    private void updateLatency(int zoneIndex, long elapsedNs, long now) {
-        double retained = Math.exp((fastestUpdatedAtNs[zoneIndex] - now) / LATENCY_MEMORY_NS);
-        fastestByZone[zoneIndex] = Math.min(elapsedNs,
-                elapsedNs - retained * (elapsedNs - fastestByZone[zoneIndex]));
-        fastestUpdatedAtNs[zoneIndex] = now;
-        double minFastestNs = Arrays.stream(fastestByZone).min().orElse(0);
-        for (int i = 0; i < latencyByZone.length; i++) {
-            latencyByZone[i] = fastestByZone[i] == Double.MAX_VALUE ? 0 : fastestByZone[i] - minFastestNs;
+    private void updateNetworkLatency(int zone, long elapsedNs, long now) {
+        double retained = Math.exp((minResponseTimeUpdatedAtNs[zone] - now) / LATENCY_MEMORY_NS);
+        minResponseTimeNs[zone] = Math.min(elapsedNs,
+                elapsedNs - retained * (elapsedNs - minResponseTimeNs[zone]));
+        minResponseTimeUpdatedAtNs[zone] = now;
+        double nearestNs = Arrays.stream(minResponseTimeNs).min().orElse(0);
+        for (int i = 0; i < networkLatencyNs.length; i++) {
+            networkLatencyNs[i] = minResponseTimeNs[i] == Double.MAX_VALUE ? 0
+                    : minResponseTimeNs[i] - nearestNs;
         }
     }
 
-    private void updateEstimates(Ticket pending, Attempt attempt, Outcome outcome, long now) {
+    private void learnFromOutcome(Ticket pending, Attempt attempt, Outcome outcome, long now) {
         Server server = attempt.to;
         if (outcome.status() == Status.OK) {
-            updateLatency(zoneOf(server), outcome.elapsedNs(), now);
-            double serviceTimeNs = Math.max(1000, outcome.elapsedNs() - latencyByZone[zoneOf(server)])
+            updateNetworkLatency(zoneIndex(server), outcome.elapsedNs(), now);
+            double sampleNs = Math.max(1000, outcome.elapsedNs() - networkLatencyNs[zoneIndex(server)])
                     / (attempt.ahead + 1);
-            double medianNs = medianByProfile[pending.request.profile()] == 0 ? outcome.elapsedNs()
-                    : medianByProfile[pending.request.profile()];
-            medianByProfile[pending.request.profile()] = medianNs
+            double medianNs = medianResponseNs[pending.request.profile()] == 0 ? outcome.elapsedNs()
+                    : medianResponseNs[pending.request.profile()];
+            medianResponseNs[pending.request.profile()] = medianNs
                     * (outcome.elapsedNs() > medianNs ? 1 + QUANTILE_STEP : 1 - QUANTILE_STEP);
-            double fastNs = fastByProfile[pending.request.profile()] == 0 ? outcome.elapsedNs()
-                    : fastByProfile[pending.request.profile()];
-            fastByProfile[pending.request.profile()] = fastNs
-                    * (outcome.elapsedNs() > fastNs ? 1 + QUANTILE_STEP * FAST_QUANTILE
-                    : 1 - QUANTILE_STEP * (1 - FAST_QUANTILE));
-            double reportedNs = server.blind && outcome.report() != null ? 1e6 * outcome.report().recentMs()
-                    : Double.NaN;
+            double quickNs = quickResponseNs[pending.request.profile()] == 0 ? outcome.elapsedNs()
+                    : quickResponseNs[pending.request.profile()];
+            quickResponseNs[pending.request.profile()] = quickNs
+                    * (outcome.elapsedNs() > quickNs ? 1 + QUANTILE_STEP * QUICK_QUANTILE
+                    : 1 - QUANTILE_STEP * (1 - QUICK_QUANTILE));
+            double reportedTimeNs = server.blind && outcome.report() != null
+                    ? 1e6 * outcome.report().recentMs() : Double.NaN;
             boolean isLate = outcome.elapsedNs() > Math.max(pending.profile.promiseNs() / 2.0,
-                    LATE_FACTOR * Math.max(medianNs, reportedNs));
+                    LATE_MULTIPLE * Math.max(medianNs, reportedTimeNs));
             recentServed += isLate ? 0 : 1;
             recentLost += isLate ? 1 : 0;
             server.owedSince = now;
@@ -701,24 +698,23 @@
             int kind = server.listed.kind() & 255;
             double retained = Math.exp((server.learntAt - now) / SERVICE_TIME_MEMORY_NS);
             server.learntAt = now;
-            serviceTimeNs *= warmth(server, now);
-            double gain = 1 - Math.exp((kindUpdatedAtNs[kind] - now) / KIND_MEMORY_NS);
-            serviceTimeByKind[kind] += gain * (serviceTimeNs - serviceTimeByKind[kind]);
-            kindUpdatedAtNs[kind] = now;
-            server.seen = Math.min(MAX_SERVICE_TIME_SAMPLES, server.seen * retained + 1);
-            server.ownPace += (serviceTimeNs - server.ownPace) / server.seen;
-            server.pace = (server.seen * server.ownPace + KIND_SAMPLES * serviceTimeByKind[kind])
-                    / (server.seen + KIND_SAMPLES);
+            sampleNs *= warmFraction(server, now);
+            double gain = 1 - Math.exp((kindLastAnswerAtNs[kind] - now) / KIND_MEMORY_NS);
+            kindServiceTimeNs[kind] += gain * (sampleNs - kindServiceTimeNs[kind]);
+            kindLastAnswerAtNs[kind] = now;
+            server.seen = Math.min(SERVICE_TIME_ANSWERS, server.seen * retained + 1);
+            server.ownPace += (sampleNs - server.ownPace) / server.seen;
+            server.pace = (server.seen * server.ownPace + KIND_ANSWERS * kindServiceTimeNs[kind])
+                    / (server.seen + KIND_ANSWERS);
         }
         if (outcome.status() == Status.FULL || outcome.status() == Status.TIMEOUT
                 || outcome.status() == Status.CANCELLED) {
             recentLost++;
         } else if (outcome.status() != Status.OK) {
-            recentSent = Math.max(0, recentSent - 1);
+            recentSends = Math.max(0, recentSends - 1);
         }
         if (outcome.status() == Status.FULL) {
-            updateAverageShare(zoneOf(server), Math.max(minPromiseNs, outcome.elapsedNs()) / server.pace,
-                    now);
+            updateZoneLoad(zoneIndex(server), Math.max(minPromiseNs, outcome.elapsedNs()) / server.pace, now);
         }
         if (outcome.status() != Status.OK && outcome.status() != Status.MOOT
                 && outcome.status() != Status.TIMEOUT
@@ -733,7 +729,7 @@
     @Override
     public void onWithdrawn(long now, int ticket) {
         Ticket pending = pendingByTicket.get(ticket);
-        if (pending != null && !pending.over) { complete(pending); }
+        if (pending != null && !pending.over) { finish(pending); }
     }
 
     @Override
@@ -741,11 +737,11 @@
         detectPause(now);
         if (token == HEARTBEAT_TOKEN) {
             actions.timer(now + HEARTBEAT_INTERVAL_NS, HEARTBEAT_TOKEN);
-        } else if (token == QUEUE_TOKEN) {
-            queueCheckScheduled = false;
-            processQueue(now);
-            scheduleQueueCheck(now);
-        } else if (token == lastCallToken) {
+        } else if (token == WAITING_TOKEN) {
+            isWaitingTimerArmed = false;
+            sendWaiting(now);
+            armWaitingTimer(now);
+        } else if (token == callNumber) {
             callDiscovery(now);
         }
     }
