--- a/src/test/java/dewstage/PolicyTest.java
+++ b/src/test/java/dewstage/PolicyTest.java
@@ -515,7 +515,7 @@
     }
 
     @Test
-    void unreportedOverloadIsThrottledAndProbedAgain() {
+    void unreportedOverloadIsThrottledAndTestedAgain() {
         Rig rig = newRig(Rig.AT_MOST_ONCE_PROFILE).updateMembers(ListKind.FULL, Rig.readyMembers(6));
         for (int i = 0; i < 100; i++) { // all servers are overloaded: no answers, no reports
             int newest = rig.request();
