--- a/src/test/java/dewstage/CallPauseTest.java
+++ b/src/test/java/dewstage/CallPauseTest.java
@@ -10,9 +10,9 @@
 /** Tests the delay between a failed call to discovery and the next one. */
 class CallPauseTest {
     /**
-     * List changes count as received 6 s after discovery can be reached again, and the previous call may have
-     * stalled for part of that time. So a proxy calls again soon, whatever the number of proxies and of
-     * failures, and the proxies do not all call at the same time.
+     * A proxy counts as notified of list changes 6 s after discovery can be reached again, and its previous
+     * call may have stalled for part of that time. So it calls again soon, whatever the number of proxies and
+     * of failures, and the proxies do not all call at the same time.
      */
     @ParameterizedTest
     @CsvSource({"1, 4000", "30, 10000", "100, 10000", "100, 60000", "1000, 600000"})
