--- a/src/test/java/dewstage/PolicyTest.java
+++ b/src/test/java/dewstage/PolicyTest.java
@@ -1011,7 +1011,7 @@
         assertEquals(14, Arrays.stream(calls, 0, 15).sum(), "within 3 s: " + Arrays.toString(calls));
     }
 
-    /** A stalled watch leaves little time until the proxy counts as notified of the changes that it missed. */
+    /** After a stall of the watch the proxy soon counts as notified of the changes that it missed. */
     @Test
     void largeFleetThatLosesItsWatchesCallsAgainWellBeforeTheLimit() {
         int[] calls = new int[100]; // in each 100 ms
