--- a/src/test/java/dewstage/OrderTest.java
+++ b/src/test/java/dewstage/OrderTest.java
@@ -165,9 +165,9 @@
             }
         }
         rig.advance(400).request(0, 900, 1);
-        var turnsField = Policy.class.getDeclaredField("turns");
-        turnsField.setAccessible(true);
-        int size = ((java.util.Map<?, ?>) turnsField.get(rig.policy)).size();
+        var keyQueuesField = Policy.class.getDeclaredField("keyQueues");
+        keyQueuesField.setAccessible(true);
+        int size = ((java.util.Map<?, ?>) keyQueuesField.get(rig.policy)).size();
         assertTrue(size <= 60, size + " keys remain");
     }
 }
--- a/src/test/java/dewstage/ReferencePolicy.java
+++ b/src/test/java/dewstage/ReferencePolicy.java
@@ -1,7 +1,7 @@
 package dewstage;
 
-import dewstage.Ticket.Attempt;
-import dewstage.Ticket.Turn;
+import dewstage.PendingRequest.Attempt;
+import dewstage.PendingRequest.KeyQueue;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -104,10 +104,10 @@
     private final Map<Server, Double> windowPositions = new HashMap<>();
     /** Eligible servers with capacity in the last pick. */
     private final Set<Server> withCapacity = new HashSet<>();
-    private final IntMap<Ticket> pendingByTicket = new IntMap<>();
-    private final Map<Long, Turn> keyQueues = new HashMap<>();
+    private final IntMap<PendingRequest> pendingByTicket = new IntMap<>();
+    private final Map<Long, KeyQueue> keyQueues = new HashMap<>();
     /** Queued requests in descending order of worth; of equal worth the newest first. */
-    private final List<Ticket> waiting = new ArrayList<>();
+    private final List<PendingRequest> waiting = new ArrayList<>();
 
     // By zone or kind, of which the low 8 bits are the index.
     private final double[] sendsPerServer = new double[256];
@@ -196,21 +196,21 @@
             callRetryDelayNs = FIRST_CALL_RETRY_NS;
         }
         for (Server server : servers) {
-            server.named &= kind == ListKind.DELTA;
+            server.isListed &= kind == ListKind.DELTA;
         }
         for (Member entry : members) {
             Server server = serversById.get(entry.id());
             if (server == null || entry.bootNs() > server.bootNs) { server = registerStarted(entry, now); }
-            server.listed = entry;
-            server.named = true;
+            server.listEntry = entry;
+            server.isListed = true;
         }
         Arrays.fill(readyCounts, 0);
         servers.sort(Comparator.comparingInt(server -> server.id));
         for (Iterator<Server> remaining = servers.iterator(); remaining.hasNext();) {
             Server server = remaining.next();
             server.rank = readyCounts[zoneIndex(server)];
-            readyCounts[zoneIndex(server)] += server.ready() ? 1 : 0;
-            if (server.out == 0 && (!server.named || server.listed.state() == State.GONE)) {
+            readyCounts[zoneIndex(server)] += server.isReady() ? 1 : 0;
+            if (server.inFlight == 0 && (!server.isListed || server.listEntry.state() == State.GONE)) {
                 remaining.remove();
                 serversById.remove(server.id);
             }
@@ -225,19 +225,19 @@
 
     private Server registerStarted(Member entry, long now) {
         Server server = new Server(entry, kindServiceTimeNs[entry.kind() & 255], meanParallelism, now);
-        server.named = true;
+        server.isListed = true;
         Server previous = serversById.get(server.id);
         if (previous != null) { servers.remove(previous); }
         servers.add(server);
         serversById.put(server.id, server);
         updateFactor(server, now);
-        server.tokens = random.nextDouble();
-        server.tally = -random.nextDouble();
+        server.coldTokens = random.nextDouble();
+        server.rotationCredit = -random.nextDouble();
         return server;
     }
 
     private static int zoneIndex(Server server) {
-        return server.listed.zone() & 255;
+        return server.listEntry.zone() & 255;
     }
 
     private double warmFraction(Server server, long now) {
@@ -248,28 +248,30 @@
 
     private void applyReport(Server server, long now, Report report) {
         if (report == null) { return; }
-        server.blind = !Double.isFinite(report.inflight());
+        server.lacksInFlightReport = !Double.isFinite(report.inflight());
         double reported = Double.isFinite(report.inflight()) ? report.inflight() : report.queue();
         if (reported >= 0 && reported < MAX_REPORTED_IN_FLIGHT
-                && (reported != server.held || report.util() != server.util)) {
-            server.held = reported;
-            server.util = report.util();
-            double otherLoad = Math.max(0, reported - server.out) / server.parallel;
-            server.heard += REPORT_GAIN * (otherLoad - server.heard);
-            server.others = server.heard;
-            server.fresh = 1;
+                && (reported != server.lastInFlight || report.util() != server.lastUtilization)) {
+            server.lastInFlight = reported;
+            server.lastUtilization = report.util();
+            double otherLoad = Math.max(0, reported - server.inFlight) / server.parallelism;
+            server.reportedOtherLoad += REPORT_GAIN * (otherLoad - server.reportedOtherLoad);
+            server.otherLoad = server.reportedOtherLoad;
+            server.freshness = 1;
             updateZoneLoad(zoneIndex(server), otherLoad, now);
         }
-        if (report.perSecond() > 0 && report.util() > 0 && report.perSecond() != server.told) {
-            server.told = report.perSecond();
-            server.rate += PARALLELISM_GAIN * (report.perSecond() - server.rate);
-            server.busy += PARALLELISM_GAIN * (Math.min(1, report.util()) - server.busy);
-            server.parallel = Math.max(1, server.rate / server.busy * server.pace / 1e9);
-            meanParallelism += PARALLELISM_GAIN * (server.parallel - meanParallelism);
+        if (report.perSecond() > 0 && report.util() > 0 && report.perSecond() != server.lastThroughput) {
+            server.lastThroughput = report.perSecond();
+            server.throughput += PARALLELISM_GAIN * (report.perSecond() - server.throughput);
+            server.utilization += PARALLELISM_GAIN * (Math.min(1, report.util()) - server.utilization);
+            server.parallelism = Math.max(1,
+                    server.throughput / server.utilization * server.serviceTimeNs / 1e9);
+            meanParallelism += PARALLELISM_GAIN * (server.parallelism - meanParallelism);
         }
-        if (now - server.renewedAt >= FACTOR_UPDATE_INTERVAL_NS) {
+        if (now - server.factorUpdatedAtNs >= FACTOR_UPDATE_INTERVAL_NS) {
             if (Double.isFinite(report.util())) {
-                server.spare += REPORT_GAIN * (1 - Math.max(0, Math.min(1, report.util())) - server.spare);
+                server.spareFraction += REPORT_GAIN
+                        * (1 - Math.max(0, Math.min(1, report.util())) - server.spareFraction);
             }
             updateFactor(server, now);
         }
@@ -282,13 +284,13 @@
     }
 
     private void updateFactor(Server server, long now) {
-        server.renewedAt = now;
-        server.factor = minPromiseNs / server.pace * server.parallel
-                * Math.max(MIN_SPARE_FRACTION, server.spare) * warmFraction(server, now);
+        server.factorUpdatedAtNs = now;
+        server.factor = minPromiseNs / server.serviceTimeNs * server.parallelism
+                * Math.max(MIN_SPARE_FRACTION, server.spareFraction) * warmFraction(server, now);
     }
 
     private static double load(Server server) {
-        return server.out / server.parallel + server.others;
+        return server.inFlight / server.parallelism + server.otherLoad;
     }
 
     private static double weight(Server server) {
@@ -297,27 +299,27 @@
     }
 
     private boolean isUnresponsive(Server server, long now) {
-        return server.out > 0
-                && now - server.owedSince > minPromiseNs * UNRESPONSIVE_PROMISE_FRACTION
+        return server.inFlight > 0
+                && now - server.awaitingSinceNs > minPromiseNs * UNRESPONSIVE_PROMISE_FRACTION
                 + networkLatencyNs[zoneIndex(server)]
-                + UNRESPONSIVE_GAPS * server.pace * (1 + server.others / server.out);
+                + UNRESPONSIVE_GAPS * server.serviceTimeNs * (1 + server.otherLoad / server.inFlight);
     }
 
     private void eject(Server server, long now) {
-        long readyCount = servers.stream().filter(Server::ready).count();
-        long ejectedCount = servers.stream().filter(other -> other.ready() && other.ejected).count();
-        if (server.ejected || ejectedCount + 1 <= readyCount * MAX_EJECTED_FRACTION) {
-            server.trialPause = server.ejected ? Math.min(server.trialPause * 2, 4 * FIRST_TRIAL_DELAY_NS)
-                    : FIRST_TRIAL_DELAY_NS;
-            server.trialAt = now + server.trialPause;
-            server.ejected = true;
+        long readyCount = servers.stream().filter(Server::isReady).count();
+        long ejectedCount = servers.stream().filter(other -> other.isReady() && other.isEjected).count();
+        if (server.isEjected || ejectedCount + 1 <= readyCount * MAX_EJECTED_FRACTION) {
+            server.trialDelayNs = server.isEjected
+                    ? Math.min(server.trialDelayNs * 2, 4 * FIRST_TRIAL_DELAY_NS) : FIRST_TRIAL_DELAY_NS;
+            server.nextTrialAtNs = now + server.trialDelayNs;
+            server.isEjected = true;
         }
     }
 
     private void ejectWithImmediateTrial(Server server, long now) {
         eject(server, now);
-        server.trialAt = now;
-        server.trialPause = FIRST_TRIAL_DELAY_NS / 2;
+        server.nextTrialAtNs = now;
+        server.trialDelayNs = FIRST_TRIAL_DELAY_NS / 2;
     }
 
     private boolean hasColdBudget(Server server, long now) {
@@ -327,14 +329,14 @@
                 * (1 - Math.exp(-Math.max(MIN_SEND_RATE_PERIOD_NS, now - startedAtNs) / SEND_RATE_MEMORY_NS));
         double ownSendsPerNs = sendsPerServer[zoneIndex(server)] / memoryNs
                 * Math.max(1, readyCounts[zoneIndex(server)] / subsetSize());
-        double idleFraction = Math.min(1, 2 * Math.max(MIN_SPARE_FRACTION, server.spare));
+        double idleFraction = Math.min(1, 2 * Math.max(MIN_SPARE_FRACTION, server.spareFraction));
         double tokensPerNs = COLD_BUDGET_FRACTION * idleFraction
                 * Math.max(ownSendsPerNs * settings.tipMultiple() * warmFraction,
                 1.0 / settings.fallNs() / Math.max(1, settings.balancers()));
-        server.tokens = Math.min(Math.max(1, tokensPerNs * settings.fallNs() / 2),
-                server.tokens + tokensPerNs * (now - server.tokensAt));
-        server.tokensAt = now;
-        return server.tokens >= 1;
+        server.coldTokens = Math.min(Math.max(1, tokensPerNs * settings.fallNs() / 2),
+                server.coldTokens + tokensPerNs * (now - server.coldTokensUpdatedAtNs));
+        server.coldTokensUpdatedAtNs = now;
+        return server.coldTokens >= 1;
     }
 
     private double subsetSize() {
@@ -343,40 +345,40 @@
                 MIN_SUBSET_SIZE * Math.max(1, servers.size() / (double) settings.balancers()));
     }
 
-    private Attempt bindingAttempt(Ticket pending) {
+    private Attempt bindingAttempt(PendingRequest pending) {
         for (Attempt attempt : pending.attempts) {
-            boolean certainlyNeverRan = attempt.ended != null && attempt.ended.neverRan
-                    && !(attempt.ended == Status.FULL && settings.fullIsNoProof());
+            boolean certainlyNeverRan = attempt.endStatus != null && attempt.endStatus.neverRan
+                    && !(attempt.endStatus == Status.FULL && settings.fullIsNoProof());
             if (!certainlyNeverRan) { return attempt; }
         }
         return null;
     }
 
-    private boolean isEligible(Server server, Ticket pending, Attempt binding, long now) {
-        if (!server.ready() || !hasColdBudget(server, now)) { return false; }
+    private boolean isEligible(Server server, PendingRequest pending, Attempt binding, long now) {
+        if (!server.isReady() || !hasColdBudget(server, now)) { return false; }
         for (Attempt attempt : pending.attempts) {
-            if (attempt.to.id == server.id) { return false; }
+            if (attempt.sentTo.id == server.id) { return false; }
         }
         if (binding == null || pending.profile.effect() != Effect.DEDUPLICATED
                 || pending.profile.scope() == Scope.ALL) {
             return true;
         }
-        return zoneIndex(server) == zoneIndex(binding.to)
+        return zoneIndex(server) == zoneIndex(binding.sentTo)
                 && (pending.profile.scope() == Scope.ZONE
-                || server.listed.cell() == binding.to.listed.cell());
+                || server.listEntry.cell() == binding.sentTo.listEntry.cell());
     }
 
-    private Server pick(Ticket pending, long now) {
+    private Server pick(PendingRequest pending, long now) {
         Server server = pick(pending, pending.attempts.size() > 0, now);
         return server == null && minServiceTimeNs == Double.MAX_VALUE ? pick(pending, true, now) : server;
     }
 
-    private Server pick(Ticket pending, boolean isWide, long now) {
+    private Server pick(PendingRequest pending, boolean isWide, long now) {
         Arrays.fill(totalWeights, 0);
         Arrays.fill(weightedTimesNs, 0);
         Arrays.fill(openWeights, 0);
         minServiceTimeNs = Double.MAX_VALUE;
-        double maxWorkNs = (pending.aim - now) * MAX_WORK_AHEAD_FRACTION;
+        double maxWorkNs = (pending.targetAtNs - now) * MAX_WORK_AHEAD_FRACTION;
         withCapacity.clear();
         Attempt binding = bindingAttempt(pending);
         double width = isWide ? Double.MAX_VALUE : subsetSize();
@@ -384,19 +386,20 @@
             int side = zoneIndex(server) == settings.zone() ? 0 : 1;
             if (!(windowPositions.get(server) * readyCounts[zoneIndex(server)] < width - side
                     && isEligible(server, pending, binding, now))) { continue; }
-            if (!server.ejected && isUnresponsive(server, now)) { ejectWithImmediateTrial(server, now); }
-            if (server.ejected) {
-                if (now >= server.trialAt && binding == null
-                        && (server.out == 0 || pending.profile.effect() != Effect.AT_MOST_ONCE)) {
+            if (!server.isEjected && isUnresponsive(server, now)) { ejectWithImmediateTrial(server, now); }
+            if (server.isEjected) {
+                if (now >= server.nextTrialAtNs && binding == null
+                        && (server.inFlight == 0 || pending.profile.effect() != Effect.AT_MOST_ONCE)) {
                     eject(server, now);
                     return server;
                 }
                 continue;
             }
-            double currentTimeNs = server.pace / warmFraction(server, now);
-            minServiceTimeNs = Math.min(minServiceTimeNs, server.pace);
+            double currentTimeNs = server.serviceTimeNs / warmFraction(server, now);
+            minServiceTimeNs = Math.min(minServiceTimeNs, server.serviceTimeNs);
             totalWeights[side] += weight(server);
-            double waitFactor = server.blind ? 1 / Math.max(MIN_SPARE_FRACTION, server.spare) : 1;
+            double waitFactor = server.lacksInFlightReport
+                    ? 1 / Math.max(MIN_SPARE_FRACTION, server.spareFraction) : 1;
             weightedTimesNs[side] += weight(server)
                     * (networkLatencyNs[zoneIndex(server)] + currentTimeNs * (load(server) + 1) * waitFactor);
             if (currentTimeNs * load(server) <= maxWorkNs
@@ -411,25 +414,26 @@
         double totalOpenWeight = openWeights[0] + (usesOtherZones ? openWeights[1] : 0);
         for (Server server : servers) {
             if (withCapacity.contains(server) && (usesOtherZones || zoneIndex(server) == settings.zone())) {
-                server.tally += weight(server) / totalOpenWeight;
-                best = best == null || server.tally > best.tally ? server : best;
+                server.rotationCredit += weight(server) / totalOpenWeight;
+                best = best == null || server.rotationCredit > best.rotationCredit ? server : best;
             }
         }
-        if (best != null) { best.tally--; }
+        if (best != null) { best.rotationCredit--; }
         return best;
     }
 
-    private double expectedLoss(int side, Ticket pending, long now) {
+    private double expectedLoss(int side, PendingRequest pending, long now) {
         double expectedTimeNs = totalWeights[side] > 0 ? weightedTimesNs[side] / totalWeights[side]
                 : Double.MAX_VALUE;
-        double missProbability = Math.exp(-Math.max(1, pending.aim - now) / Math.max(1, expectedTimeNs));
+        double missProbability = Math.exp(-Math.max(1, pending.targetAtNs - now)
+                / Math.max(1, expectedTimeNs));
         return missProbability * pending.profile.worth() / meanWorth * (1 - pending.profile.lateShare());
     }
 
     private void detectPause(long now) {
         if (now - lastEventAtNs > 2 * HEARTBEAT_INTERVAL_NS) {
             resumedAtNs = now;
-            servers.forEach(server -> server.owedSince = now);
+            servers.forEach(server -> server.awaitingSinceNs = now);
         }
         lastEventAtNs = now;
     }
@@ -448,20 +452,20 @@
         decayAverages(now);
         recentArrivals++;
         Profile profile = settings.profiles().get(request.profile());
-        Ticket pending = new Ticket(request, profile, targetTimeNs(request, profile, now),
+        PendingRequest pending = new PendingRequest(request, profile, targetTimeNs(request, profile, now),
                 now + request.leftNs());
         pendingByTicket.put(request.ticket(), pending);
         if (pending.profile.sequential() && request.key() != 0) {
-            pending.turn = keyQueues.computeIfAbsent(request.key(), k -> new Turn());
-            pending.turn.queue.add(pending);
+            pending.keyQueue = keyQueues.computeIfAbsent(request.key(), newKey -> new KeyQueue());
+            pending.keyQueue.requests.add(pending);
         }
         retryBudget = Math.min(MAX_RETRY_BUDGET, retryBudget + RETRIES_PER_REQUEST);
         resendBudget = Math.min(MAX_RESEND_BUDGET, resendBudget + RESENDS_PER_REQUEST);
         if (!trySend(pending, now)) { enqueue(pending, now); }
     }
 
-    private void enqueue(Ticket pending, long now) {
-        pending.held = true;
+    private void enqueue(PendingRequest pending, long now) {
+        pending.hasWaited = true;
         int index = waiting.size();
         while (index > 0 && waiting.get(index - 1).profile.worth() <= pending.profile.worth()) { index--; }
         waiting.add(index, pending);
@@ -484,20 +488,21 @@
             retained = Math.exp((decayedAtNs - now) / REPORT_MEMORY_NS);
             double units = 0;
             for (Server server : servers) {
-                units += server.ready() ? server.listed.units() * warmFraction(server, now) : 0;
-                server.fresh *= retained;
-                server.others = server.fresh * server.heard
-                        + (1 - server.fresh) * (1 / averageShares[zoneIndex(server)] - 1);
+                units += server.isReady() ? server.listEntry.units() * warmFraction(server, now) : 0;
+                server.freshness *= retained;
+                server.otherLoad = server.freshness * server.reportedOtherLoad
+                        + (1 - server.freshness) * (1 / averageShares[zoneIndex(server)] - 1);
             }
             inFlightLimit = Math.max(MIN_IN_FLIGHT_LIMIT,
                     IN_FLIGHT_PER_UNIT * units / Math.max(1, settings.balancers()));
-            keyQueues.values().removeIf(keyQueue -> keyQueue.queue.isEmpty() && now >= keyQueue.restUntil);
+            keyQueues.values().removeIf(keyQueue -> keyQueue.requests.isEmpty()
+                    && now >= keyQueue.coolDownUntilNs);
             decayedAtNs = now;
         }
     }
 
-    private boolean trySend(Ticket pending, long now) {
-        if (pending.over) { return true; }
+    private boolean trySend(PendingRequest pending, long now) {
+        if (pending.isFinished) { return true; }
         if (!pending.attempts.isEmpty() && !mayAttempt(pending, now)) {
             finishUnserved(pending);
             return true;
@@ -521,20 +526,22 @@
                 && recentSends > MAX_SENDS_PER_SERVED * recentServed + extraSends;
     }
 
-    private boolean isOverInFlightLimit(Ticket pending) {
+    private boolean isOverInFlightLimit(PendingRequest pending) {
         int profileIndex = pending.request.profile();
         return totalInFlight >= inFlightLimit
                 && medianResponseNs[profileIndex] > Math.min(SLOW_MULTIPLE * quickResponseNs[profileIndex],
                 pending.profile.promiseNs() / 2.0);
     }
 
-    private boolean finishIfTooLate(Ticket pending, long now) {
-        double minTimeNs = (pending.held ? medianResponseNs : quickResponseNs)[pending.request.profile()];
-        if (!pending.over && (pending.aim - now < Math.min(minTimeNs, pending.profile.promiseNs() / 2.0)
-                || now >= pending.deadline - WAITING_CHECK_INTERVAL_NS - 2 * settings.stepNs())) {
+    private boolean finishIfTooLate(PendingRequest pending, long now) {
+        double minTimeNs = (pending.hasWaited ? medianResponseNs
+                : quickResponseNs)[pending.request.profile()];
+        if (!pending.isFinished
+                && (pending.targetAtNs - now < Math.min(minTimeNs, pending.profile.promiseNs() / 2.0)
+                || now >= pending.deadlineNs - WAITING_CHECK_INTERVAL_NS - 2 * settings.stepNs())) {
             finishUnserved(pending);
         }
-        return pending.over;
+        return pending.isFinished;
     }
 
     private void armWaitingTimer(long now) {
@@ -550,35 +557,35 @@
                 : trySend(pending, now));
     }
 
-    private void send(Ticket pending, Server server, long now) {
+    private void send(PendingRequest pending, Server server, long now) {
         pending.attempts.add(new Attempt(server, load(server), now));
-        pending.out++;
+        pending.inFlight++;
         totalInFlight++;
-        server.owedSince = server.out++ == 0 ? now : server.owedSince;
-        server.tokens--;
+        server.awaitingSinceNs = server.inFlight++ == 0 ? now : server.awaitingSinceNs;
+        server.coldTokens--;
         recentSends++;
         sendsPerServer[zoneIndex(server)] += 1.0 / readyCounts[zoneIndex(server)];
         boolean isCancelledWhenLate = settings.mayCancel() && pending.profile.lateShare() == 0
                 && !(pending.profile.effect() == Effect.DEDUPLICATED && pending.profile.scope() == Scope.ALL);
-        actions.send(pending.request.ticket(), server.id, isCancelledWhenLate ? Math.max(1, pending.aim - now)
-                : 0);
+        actions.send(pending.request.ticket(), server.id, isCancelledWhenLate
+                ? Math.max(1, pending.targetAtNs - now) : 0);
     }
 
-    private boolean mayAttempt(Ticket pending, long now) {
-        if (pending.over || pending.begun || now >= pending.aim
+    private boolean mayAttempt(PendingRequest pending, long now) {
+        if (pending.isFinished || pending.hasStreamBegun || now >= pending.targetAtNs
                 || pending.attempts.size() >= settings.maxAttempts()
-                || now >= pending.deadline - settings.stepNs()) {
+                || now >= pending.deadlineNs - settings.stepNs()) {
             return false;
         }
         Attempt binding = bindingAttempt(pending);
         return binding == null || pending.profile.effect() == Effect.IDEMPOTENT
                 || pending.profile.effect() == Effect.DEDUPLICATED
-                && now - binding.sentAt < pending.profile.windowNs() - settings.connectTimeoutNs()
+                && now - binding.sentAtNs < pending.profile.windowNs() - settings.connectTimeoutNs()
                         - 2 * settings.stepNs();
     }
 
-    private void retryOrFinish(Ticket pending, long now) {
-        boolean wasReset = pending.attempts.get(pending.attempts.size() - 1).ended == Status.RESET;
+    private void retryOrFinish(PendingRequest pending, long now) {
+        boolean wasReset = pending.attempts.get(pending.attempts.size() - 1).endStatus == Status.RESET;
         Attempt binding = bindingAttempt(pending);
         if ((wasReset ? resendBudget : retryBudget) < 1 || !mayAttempt(pending, now)
                 || servers.stream().noneMatch(server -> isEligible(server, pending, binding, now))) {
@@ -596,7 +603,7 @@
         retryBudget -= wasReset ? 0 : 1;
     }
 
-    private void finishUnserved(Ticket pending) {
+    private void finishUnserved(PendingRequest pending) {
         if (bindingAttempt(pending) == null || pending.profile.effect() == Effect.IDEMPOTENT
                 || pending.profile.effect() == Effect.DEDUPLICATED && pending.profile.scope() == Scope.ALL) {
             actions.refuse(pending.request.ticket(), settings.maxRetryAfterNs());
@@ -606,54 +613,56 @@
         finish(pending);
     }
 
-    private void finish(Ticket pending) {
-        pending.over = true;
-        if (pending.out == 0) {
+    private void finish(PendingRequest pending) {
+        pending.isFinished = true;
+        if (pending.inFlight == 0) {
             discard(pending);
         } else if (settings.mayCancel()) {
             actions.cancel(pending.request.ticket(), pending.attempts.size() - 1);
         }
     }
 
-    private static boolean isNextOfKey(Ticket pending, long now) {
-        return pending.turn == null || pending.turn.queue.peek() == pending && now >= pending.turn.restUntil;
+    private static boolean isNextOfKey(PendingRequest pending, long now) {
+        return pending.keyQueue == null || pending.keyQueue.requests.peek() == pending
+                && now >= pending.keyQueue.coolDownUntilNs;
     }
 
-    private void discard(Ticket pending) {
+    private void discard(PendingRequest pending) {
         pendingByTicket.remove(pending.request.ticket());
-        if (pending.turn != null) { pending.turn.queue.remove(pending); }
+        if (pending.keyQueue != null) { pending.keyQueue.requests.remove(pending); }
     }
 
     @Override
     public void onStreamBegun(long now, int ticket, int attempt, int server, long elapsedNs) {
-        Ticket pending = pendingByTicket.get(ticket);
-        if (pending != null) { pending.begun = true; }
+        PendingRequest pending = pendingByTicket.get(ticket);
+        if (pending != null) { pending.hasStreamBegun = true; }
     }
 
     @Override
     public void onOutcome(long now, Outcome outcome) {
         detectPause(now);
-        Ticket pending = pendingByTicket.get(outcome.ticket());
+        PendingRequest pending = pendingByTicket.get(outcome.ticket());
         if (pending == null || outcome.attempt() >= pending.attempts.size()
-                || pending.attempts.get(outcome.attempt()).ended != null) {
+                || pending.attempts.get(outcome.attempt()).endStatus != null) {
             return;
         }
         Attempt completed = pending.attempts.get(outcome.attempt());
-        completed.ended = outcome.status();
-        pending.out--;
-        completed.to.out--;
+        completed.endStatus = outcome.status();
+        pending.inFlight--;
+        completed.sentTo.inFlight--;
         totalInFlight--;
-        if (pending.turn != null && (outcome.status() == Status.TIMEOUT || outcome.status() == Status.RESET
+        if (pending.keyQueue != null
+                && (outcome.status() == Status.TIMEOUT || outcome.status() == Status.RESET
                 || outcome.status() == Status.CANCELLED)) {
-            pending.turn.restUntil = now + settings.turnGapNs();
+            pending.keyQueue.coolDownUntilNs = now + settings.turnGapNs();
         }
         if (now != resumedAtNs) { learnFromOutcome(pending, completed, outcome, now); }
-        applyReport(completed.to, now, outcome.report());
-        if (outcome.over() && !pending.over) {
+        applyReport(completed.sentTo, now, outcome.report());
+        if (outcome.over() && !pending.isFinished) {
             finish(pending);
-        } else if (pending.over && pending.out == 0) {
+        } else if (pending.isFinished && pending.inFlight == 0) {
             discard(pending);
-        } else if (!pending.over && pending.out == 0) {
+        } else if (!pending.isFinished && pending.inFlight == 0) {
             retryOrFinish(pending, now);
         }
         sendWaiting(now);
@@ -671,12 +680,12 @@
         }
     }
 
-    private void learnFromOutcome(Ticket pending, Attempt attempt, Outcome outcome, long now) {
-        Server server = attempt.to;
+    private void learnFromOutcome(PendingRequest pending, Attempt attempt, Outcome outcome, long now) {
+        Server server = attempt.sentTo;
         if (outcome.status() == Status.OK) {
             updateNetworkLatency(zoneIndex(server), outcome.elapsedNs(), now);
             double sampleNs = Math.max(1000, outcome.elapsedNs() - networkLatencyNs[zoneIndex(server)])
-                    / (attempt.ahead + 1);
+                    / (attempt.loadAhead + 1);
             double medianNs = medianResponseNs[pending.request.profile()] == 0 ? outcome.elapsedNs()
                     : medianResponseNs[pending.request.profile()];
             medianResponseNs[pending.request.profile()] = medianNs
@@ -686,26 +695,27 @@
             quickResponseNs[pending.request.profile()] = quickNs
                     * (outcome.elapsedNs() > quickNs ? 1 + QUANTILE_STEP * QUICK_QUANTILE
                     : 1 - QUANTILE_STEP * (1 - QUICK_QUANTILE));
-            double reportedTimeNs = server.blind && outcome.report() != null
+            double reportedTimeNs = server.lacksInFlightReport && outcome.report() != null
                     ? 1e6 * outcome.report().recentMs() : Double.NaN;
             boolean isLate = outcome.elapsedNs() > Math.max(pending.profile.promiseNs() / 2.0,
                     LATE_MULTIPLE * Math.max(medianNs, reportedTimeNs));
             recentServed += isLate ? 0 : 1;
             recentLost += isLate ? 1 : 0;
-            server.owedSince = now;
-            server.failures = 0;
-            server.ejected = false;
-            int kind = server.listed.kind() & 255;
-            double retained = Math.exp((server.learntAt - now) / SERVICE_TIME_MEMORY_NS);
-            server.learntAt = now;
+            server.awaitingSinceNs = now;
+            server.consecutiveFailures = 0;
+            server.isEjected = false;
+            int kind = server.listEntry.kind() & 255;
+            double retained = Math.exp((server.lastAnswerAtNs - now) / SERVICE_TIME_MEMORY_NS);
+            server.lastAnswerAtNs = now;
             sampleNs *= warmFraction(server, now);
             double gain = 1 - Math.exp((kindLastAnswerAtNs[kind] - now) / KIND_MEMORY_NS);
             kindServiceTimeNs[kind] += gain * (sampleNs - kindServiceTimeNs[kind]);
             kindLastAnswerAtNs[kind] = now;
-            server.seen = Math.min(SERVICE_TIME_ANSWERS, server.seen * retained + 1);
-            server.ownPace += (sampleNs - server.ownPace) / server.seen;
-            server.pace = (server.seen * server.ownPace + KIND_ANSWERS * kindServiceTimeNs[kind])
-                    / (server.seen + KIND_ANSWERS);
+            server.measuredAnswers = Math.min(SERVICE_TIME_ANSWERS, server.measuredAnswers * retained + 1);
+            server.measuredServiceTimeNs += (sampleNs - server.measuredServiceTimeNs)
+                    / server.measuredAnswers;
+            server.serviceTimeNs = (server.measuredAnswers * server.measuredServiceTimeNs
+                    + KIND_ANSWERS * kindServiceTimeNs[kind]) / (server.measuredAnswers + KIND_ANSWERS);
         }
         if (outcome.status() == Status.FULL || outcome.status() == Status.TIMEOUT
                 || outcome.status() == Status.CANCELLED) {
@@ -714,13 +724,15 @@
             recentSends = Math.max(0, recentSends - 1);
         }
         if (outcome.status() == Status.FULL) {
-            updateZoneLoad(zoneIndex(server), Math.max(minPromiseNs, outcome.elapsedNs()) / server.pace, now);
+            updateZoneLoad(zoneIndex(server),
+                    Math.max(minPromiseNs, outcome.elapsedNs()) / server.serviceTimeNs, now);
         }
         if (outcome.status() != Status.OK && outcome.status() != Status.MOOT
                 && outcome.status() != Status.TIMEOUT
                 && outcome.status() != Status.CANCELLED) {
-            server.owedSince = now;
-            if (++server.failures >= EJECTION_FAILURES || outcome.status() == Status.CONNECT_FAILED) {
+            server.awaitingSinceNs = now;
+            if (++server.consecutiveFailures >= EJECTION_FAILURES
+                    || outcome.status() == Status.CONNECT_FAILED) {
                 eject(server, now);
             }
         }
@@ -728,8 +740,8 @@
 
     @Override
     public void onWithdrawn(long now, int ticket) {
-        Ticket pending = pendingByTicket.get(ticket);
-        if (pending != null && !pending.over) { finish(pending); }
+        PendingRequest pending = pendingByTicket.get(ticket);
+        if (pending != null && !pending.isFinished) { finish(pending); }
     }
 
     @Override
