--- a/src/main/java/dewstage/scale/Backend.java
+++ b/src/main/java/dewstage/scale/Backend.java
@@ -13,7 +13,8 @@
  */
 record Backend(String id, String hostPort, String zone, String kind, int cell, String lifecycle,
         double weight, long startedAtMs) {
-    static final String IN_SERVICE = "in_service", TERMINATED = "terminated";
+    static final String IN_SERVICE = "in_service";
+    static final String TERMINATED = "terminated";
 
     Backend terminated() {
         return new Backend(id, hostPort, zone, kind, cell, TERMINATED, weight, startedAtMs);
--- a/src/main/java/dewstage/scale/BackendStandIn.java
+++ b/src/main/java/dewstage/scale/BackendStandIn.java
@@ -32,8 +32,10 @@
     /** Maximum size of a body in the protocol. */
     private static final int MAX_BODY_BYTES = 64 << 10;
     private static final int RESPONSE_BYTES = 1000;
+    /** Least reported utilization in percent. */
+    private static final int MIN_UTIL_PERCENT = 20;
     /** Range of the reported utilization in percent; it varies since a repeated report counts as stale. */
-    private static final int MIN_UTIL_PERCENT = 20, UTIL_STEPS = 30;
+    private static final int UTIL_STEPS = 30;
     /** Length of the accept queue: all proxies of a fleet may connect at once. */
     private static final int ACCEPT_BACKLOG = 4096;
 
--- a/src/main/java/dewstage/scale/Build.java
+++ b/src/main/java/dewstage/scale/Build.java
@@ -6,7 +6,10 @@
 
 /** A built checkout, with its name in tables. */
 record Build(String name, Path folder) {
-    static final String OWN = "this", BASELINE = "baseline";
+    /** Name of the build under measurement. */
+    static final String OWN = "this";
+    /** Name of the build to compare with. */
+    static final String BASELINE = "baseline";
 
     /** Returns an older build to compare with. */
     static Build baseline(Path folder) {
--- a/src/main/java/dewstage/scale/ChangesExperiment.java
+++ b/src/main/java/dewstage/scale/ChangesExperiment.java
@@ -15,11 +15,20 @@
         description = "changes of entries: one by one, in a burst (--changes), at a rate (--rates); "
                 + "load on replaced backends while cold")
 final class ChangesExperiment extends FleetExperiment {
-    private static final String ONE = "one change", BURST = "burst";
-    private static final int SINGLE_CHANGES = 20, MAX_RATE = 1000;
-    /** Thousands per day: 24,000 replaced backends and 29,000 configuration changes. */
-    private static final int REPLACEMENTS = 24, RECONFIGURATIONS = 29;
-    private static final double NS_PER_S = 1e9, PERCENT = 100;
+    /** Name of the step that publishes changes one by one. */
+    private static final String ONE = "one change";
+    /** Name of the step that publishes all changes at once. */
+    private static final String BURST = "burst";
+    /** Changes published one by one in a sample. */
+    private static final int SINGLE_CHANGES = 20;
+    /** Upper bound of --rates, in changes per second. */
+    private static final int MAX_RATE = 1000;
+    /** Replaced backends in thousands per day: 24,000. */
+    private static final int REPLACEMENTS = 24;
+    /** Configuration changes in thousands per day: 29,000. */
+    private static final int RECONFIGURATIONS = 29;
+    private static final double NS_PER_S = 1e9;
+    private static final double PERCENT = 100;
     /** Number and interval of the replacements while sends to cold backends are counted. */
     private static final int COLD_REPLACEMENTS = 8;
     private static final double COLD_INTERVAL_S = 1;
--- a/src/main/java/dewstage/scale/ColdBackendLoad.java
+++ b/src/main/java/dewstage/scale/ColdBackendLoad.java
@@ -10,7 +10,8 @@
 final class ColdBackendLoad {
     /** Time for the modules to estimate their request rates before backends start. */
     private static final double WARM_UP_S = 5;
-    private static final double NS_PER_S = 1e9, MEDIAN = 0.5;
+    private static final double NS_PER_S = 1e9;
+    private static final double MEDIAN = 0.5;
 
     private final Experiment.Run run;
     private final ColdOptions cold;
--- a/src/main/java/dewstage/scale/DiscoveryStandIn.java
+++ b/src/main/java/dewstage/scale/DiscoveryStandIn.java
@@ -40,15 +40,18 @@
 final class DiscoveryStandIn implements AutoCloseable {
     /** Interval of the empty lines that keep an unchanged watch alive. */
     private static final long HEARTBEAT_MS = 2000;
-    private static final ByteBuf HEARTBEAT = sharedBuffer("1\r\n\n\r\n"),
-            LAST_CHUNK = sharedBuffer("0\r\n\r\n");
+    /** An empty line as a chunk. */
+    private static final ByteBuf HEARTBEAT = sharedBuffer("1\r\n\n\r\n");
+    private static final ByteBuf LAST_CHUNK = sharedBuffer("0\r\n\r\n");
     private static final ByteBuf HEAD = sharedBuffer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    private static final ByteBuf
-            SERVICE_UNAVAILABLE = sharedBuffer(
-                    "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
-            NOT_FOUND = sharedBuffer("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
-    /** Limit of the bytes that a call has written and its connection has not sent yet; slices are smaller. */
-    private static final int MAX_PENDING_BYTES = 256 << 10, SLICE_BYTES = 64 << 10;
+    private static final ByteBuf SERVICE_UNAVAILABLE = sharedBuffer(
+            "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+    private static final ByteBuf NOT_FOUND = sharedBuffer(
+            "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
+    /** Limit of the bytes that a call has written and its connection has not sent yet. */
+    private static final int MAX_PENDING_BYTES = 256 << 10;
+    /** Length of the slices in which an update is written, smaller than MAX_PENDING_BYTES. */
+    private static final int SLICE_BYTES = 64 << 10;
     /** Time in which the event loop completes a selection, unless it is overloaded. */
     private static final long SELECTION_MS = 10;
     /** Length of the accept queue: all proxies of a fleet may call at once. */
@@ -57,12 +60,14 @@
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final ListHistory history;
     private final Set<Call> calls = new HashSet<>();
-    private final AtomicLong callCount = new AtomicLong(),
-            refusedCount = new AtomicLong(), fullListCount = new AtomicLong();
+    private final AtomicLong callCount = new AtomicLong();
+    private final AtomicLong refusedCount = new AtomicLong();
+    private final AtomicLong fullListCount = new AtomicLong();
     private final AtomicLong byteCount = new AtomicLong();
     private final InetSocketAddress address;
     private volatile Channel listener;
-    private boolean unresponsive, refusing;
+    private boolean unresponsive;
+    private boolean refusing;
 
     /**
      * Counters since the start.
@@ -232,7 +237,9 @@
     /** A connection and its call: the version that was sent and the rest of the update being sent. */
     private final class Call extends SimpleChannelInboundHandler<HttpObject> {
         private final Channel channel;
-        private boolean responding, isWatch, pumping;
+        private boolean responding;
+        private boolean isWatch;
+        private boolean pumping;
         private long version = -1;
         private ByteBuf update;
 
--- a/src/main/java/dewstage/scale/Fleet.java
+++ b/src/main/java/dewstage/scale/Fleet.java
@@ -16,10 +16,20 @@
  * changed entries. Not thread-safe.
  */
 final class Fleet {
-    /** Size of the planned fleet: 18 zones in 5 regions, 4,200 services, racks of about 20 backends. */
-    static final int ZONES = 18, REGIONS = 5, SERVICES = 4200, KINDS = 4, RACK_SIZE = 20;
-    /** Range of the weights that a change assigns; the initial weight is 1. */
-    private static final double MIN_WEIGHT = 0.5, WEIGHT_RANGE = 1.0;
+    /** Zones of the planned fleet: 18 in 5 regions. */
+    static final int ZONES = 18;
+    /** Regions of the planned fleet. */
+    static final int REGIONS = 5;
+    /** Services of the planned fleet: 4,200. */
+    static final int SERVICES = 4200;
+    /** Machine types of the fleet. */
+    static final int KINDS = 4;
+    /** Backends of a rack: about 20 in the planned fleet. */
+    static final int RACK_SIZE = 20;
+    /** Least weight that a change assigns; the initial weight is 1. */
+    private static final double MIN_WEIGHT = 0.5;
+    /** Width of the range of the weights that a change assigns. */
+    private static final double WEIGHT_RANGE = 1.0;
 
     private final SplittableRandom random;
     private final IntFunction<String> addresses;
--- a/src/main/java/dewstage/scale/HollowProxies.java
+++ b/src/main/java/dewstage/scale/HollowProxies.java
@@ -32,9 +32,13 @@
     private static final int THREADS = Math.max(1, Runtime.getRuntime().availableProcessors() / 2);
     /** Response time of an attempt, like that of a small backend. */
     private static final long RESPONSE_NS = 20_000_000L;
-    /** Limits of a proxy in service; its memory may bound the length of its list. */
-    private static final int MEMORY_MB = 192, SOCKETS = 1024;
-    private static final long CLIENT_GIVE_UP_NS = 600_000_000L, NS_PER_S = 1_000_000_000L;
+    /** Memory limit of a proxy in service; it may bound the length of its list. */
+    private static final int MEMORY_MB = 192;
+    /** Socket limit of a proxy in service. */
+    private static final int SOCKETS = 1024;
+    /** Time-out of a client. */
+    private static final long CLIENT_GIVE_UP_NS = 600_000_000L;
+    private static final long NS_PER_S = 1_000_000_000L;
 
     private final ThreadMXBean threadTimes = ManagementFactory.getThreadMXBean();
     private final List<Thread> threads = new ArrayList<>();
@@ -42,7 +46,8 @@
     private final List<Instance> instances = new ArrayList<>();
     private final Queue<Propagation> propagations = new ConcurrentLinkedQueue<>();
     private final AtomicLong moduleErrors = new AtomicLong();
-    private final AtomicLong requestCount = new AtomicLong(), rejectedCount = new AtomicLong();
+    private final AtomicLong requestCount = new AtomicLong();
+    private final AtomicLong rejectedCount = new AtomicLong();
 
     /** Creates the given number of proxies of one fleet without starting them. */
     HollowProxies(int count, String discovery, long seed) throws IOException {
--- a/src/main/java/dewstage/scale/ModuleChild.java
+++ b/src/main/java/dewstage/scale/ModuleChild.java
@@ -12,8 +12,10 @@
 final class ModuleChild {
     /** Start of the last line of output. */
     static final String DONE = "DONE";
-    /** Small fleets are measured in several rounds with other seeds, up to this total of entries. */
-    private static final int MAX_ROUNDS = 8, TOTAL_ENTRIES = 34_000;
+    /** Maximum number of rounds for a small fleet, each with another seed. */
+    private static final int MAX_ROUNDS = 8;
+    /** Small fleets are measured in several rounds, up to this total of entries. */
+    private static final int TOTAL_ENTRIES = 34_000;
 
     private ModuleChild() { }
 
--- a/src/main/java/dewstage/scale/ModuleCosts.java
+++ b/src/main/java/dewstage/scale/ModuleCosts.java
@@ -19,7 +19,8 @@
 
     private final Map<Key, List<Double>> values = new HashMap<>();
     private final Map<ModuleShape, Set<String>> digests = new HashMap<>();
-    private final Map<String, Long> served = new HashMap<>(), rejected = new HashMap<>();
+    private final Map<String, Long> served = new HashMap<>();
+    private final Map<String, Long> rejected = new HashMap<>();
 
     /** Adds the output of one child process; returns false if it is incomplete. */
     boolean addOutput(String build, ModuleShape shape, List<String> lines) {
--- a/src/main/java/dewstage/scale/ModuleExperiment.java
+++ b/src/main/java/dewstage/scale/ModuleExperiment.java
@@ -25,13 +25,25 @@
     private static final List<Integer> SIZES = List.of(50, 200, 1000, 4000, 17_000, 68_000);
     /** Heap of a child process: four times that of a proxy, to keep collections out of the measurements. */
     private static final int HEAP_MB = 256;
-    private static final long BYTES_PER_MB = 1 << 20, OWN_HEAP_BYTES = 32 * BYTES_PER_MB;
+    private static final long BYTES_PER_MB = 1 << 20;
+    /** Heap of this program, without the child processes. */
+    private static final long OWN_HEAP_BYTES = 32 * BYTES_PER_MB;
     private static final double THOUSAND = 1000;
     private static final String TO_BASELINE = ", this to baseline";
-    /** Upper bounds of cost ratios, and the sizes that are compared. */
-    private static final double MAX_REQUEST_RATIO = 1.5, MAX_CHANGE_RATIO = 3, MAX_LIST_RATIO = 5;
-    private static final int SMALL = 200, SMALL_FOR_CHANGES = 1000, SMALL_FOR_LISTS = 17_000,
-            LARGE = ModuleShape.TARGET_ENTRIES;
+    /** Upper bound of the cost of a request at LARGE entries, relative to SMALL. */
+    private static final double MAX_REQUEST_RATIO = 1.5;
+    /** Upper bound of the cost of a change at LARGE entries, relative to SMALL_FOR_CHANGES. */
+    private static final double MAX_CHANGE_RATIO = 3;
+    /** Upper bound of the cost of a whole list at LARGE entries, relative to SMALL_FOR_LISTS. */
+    private static final double MAX_LIST_RATIO = 5;
+    /** Entries of the smaller fleet for the comparison of requests. */
+    private static final int SMALL = 200;
+    /** Entries of the smaller fleet for the comparison of changes. */
+    private static final int SMALL_FOR_CHANGES = 1000;
+    /** Entries of the smaller fleet for the comparison of lists. */
+    private static final int SMALL_FOR_LISTS = 17_000;
+    /** Entries of the larger fleet for all comparisons. */
+    private static final int LARGE = ModuleShape.TARGET_ENTRIES;
     /** Ratio by which the medians of two repetitions of the same build can differ. */
     private static final double MAX_NOISE_RATIO = 1.15;
 
--- a/src/main/java/dewstage/scale/ModuleRun.java
+++ b/src/main/java/dewstage/scale/ModuleRun.java
@@ -16,10 +16,13 @@
     /** Three times the window in which the module remembers arrivals: the subset is then as in service. */
     static final int WARM_UP_REQUESTS = 6 * VirtualHost.REQUESTS_PER_SECOND;
     /** Requests of a block, which lasts long enough to contain some of the periodic work done every 50 ms. */
-    private static final int BLOCK_REQUESTS = VirtualHost.REQUESTS_PER_SECOND / 5, BLOCKS = 9;
+    private static final int BLOCK_REQUESTS = VirtualHost.REQUESTS_PER_SECOND / 5;
+    /** Number of blocks that are measured. */
+    private static final int BLOCKS = 9;
     /** Requests until the rare failures have taken effect. */
     private static final int SETTLE_REQUESTS = 2 * VirtualHost.REQUESTS_PER_SECOND;
-    private static final int CHANGED_ENTRIES = 12, LIST_REPEATS = 5;
+    private static final int CHANGED_ENTRIES = 12;
+    private static final int LIST_REPEATS = 5;
     /** Distance between changed entries: prime, so that the changes are spread over all zones. */
     private static final int STRIDE = 7919;
     private static final List<State> LIFECYCLE = List.of(State.DRAINING, State.GONE, State.READY);
--- a/src/main/java/dewstage/scale/ModuleShape.java
+++ b/src/main/java/dewstage/scale/ModuleShape.java
@@ -11,14 +11,20 @@
 
 /** The size of a fleet as one module sees it: the numbers of entries, zones and balancers. */
 record ModuleShape(int entries, int zones, int balancers) {
-    /** The target fleet, from which smaller fleets are scaled down. */
-    static final int TARGET_ENTRIES = 68_000, TARGET_ZONES = 18, TARGET_BALANCERS = 5300;
+    /** Entries of the target fleet, from which smaller fleets are scaled down. */
+    static final int TARGET_ENTRIES = 68_000;
+    /** Zones of the target fleet. */
+    static final int TARGET_ZONES = 18;
+    /** Balancers of the target fleet. */
+    static final int TARGET_BALANCERS = 5300;
     /** The zone of the module, which exists in each shape. */
     static final int OWN_ZONE = 0;
     private static final long MS = 1_000_000;
     /** Bits of the golden ratio: an odd multiplier that scatters consecutive indices without collisions. */
     private static final int GOLDEN_RATIO = 0x9e3779b9;
-    private static final int KINDS = 3, CELLS = 4;
+    /** Machine types of a fleet. */
+    private static final int KINDS = 3;
+    private static final int CELLS = 4;
 
     /** Returns a shape with as many entries per zone and per balancer as the target. */
     static ModuleShape scaled(int entries) {
--- a/src/main/java/dewstage/scale/OpenLoop.java
+++ b/src/main/java/dewstage/scale/OpenLoop.java
@@ -33,12 +33,17 @@
  * target receives the load of one proxy. Everything but the pacing runs on one event loop.
  */
 final class OpenLoop {
-    private static final int MAX_BODY_BYTES = 64 << 10, REQUEST_BODY_BYTES = 200;
-    /** One request in ten is keyed, of the second class in the configuration. */
-    private static final int MIX_PERIOD = 10, KEYED_REMAINDER = 1;
+    private static final int MAX_BODY_BYTES = 64 << 10;
+    private static final int REQUEST_BODY_BYTES = 200;
+    /** One request in ten is keyed. */
+    private static final int MIX_PERIOD = 10;
+    /** Remainder of the number of a keyed request, which is of the second class in the configuration. */
+    private static final int KEYED_REMAINDER = 1;
     private static final String TIMEOUT_S = "0.600";
     /** Maximum wait for responses after the last request: more than the time-out of a client. */
-    private static final long DRAIN_MS = 1500, POLL_MS = 10;
+    private static final long DRAIN_MS = 1500;
+    /** Interval of the checks for outstanding responses. */
+    private static final long POLL_MS = 10;
 
     /** The latencies of served requests, and the number of requests sent. */
     record Result(Latencies latencies, long sent) { }
--- a/src/main/java/dewstage/scale/ProxyConfig.java
+++ b/src/main/java/dewstage/scale/ProxyConfig.java
@@ -19,13 +19,18 @@
  */
 record ProxyConfig(long seed, int me, int balancers, String listen, String discovery, int memoryMb,
         int sockets) {
-    /** Time after which a cold backend under too much load collapses, and time until a backend is warm. */
-    static final long FALL_NS = 1_500_000_000L, COLD_NS = 8_800_000_000L;
-    /** Duration of a drain, and limit of the time to connect to discovery or a backend. */
-    private static final long DRAIN_GRACE_NS = 2_000_000_000L, CONNECT_TIMEOUT_NS = 1_000_000_000L;
+    /** Time after which a cold backend under too much load collapses. */
+    static final long FALL_NS = 1_500_000_000L;
+    /** Time until a backend is warm. */
+    static final long COLD_NS = 8_800_000_000L;
+    /** Duration of a drain. */
+    private static final long DRAIN_GRACE_NS = 2_000_000_000L;
+    /** Limit of the time to connect to discovery or a backend. */
+    private static final long CONNECT_TIMEOUT_NS = 1_000_000_000L;
     /** Time after which idle connections to a backend are closed. */
     private static final long KEEP_ALIVE_NS = 15_000_000_000L;
-    private static final long STEP_NS = 5_000_000L, MAX_RETRY_AFTER_NS = 1_200_000_000L;
+    private static final long STEP_NS = 5_000_000L;
+    private static final long MAX_RETRY_AFTER_NS = 1_200_000_000L;
     private static final JsonFactory JSON = new JsonFactory();
 
     /** Returns the zone of the proxy; zones are assigned in turn. */
--- a/src/main/java/dewstage/scale/ProxyGroup.java
+++ b/src/main/java/dewstage/scale/ProxyGroup.java
@@ -14,8 +14,10 @@
     /** Limits of a real proxy in the target deployment. */
     static final int MEMORY_MB = 192;
     static final int SOCKETS = 1024;
-    /** Fields of /proc/PID/status. */
-    static final String MEMORY_NOW = "VmRSS", MEMORY_PEAK = "VmHWM";
+    /** Field of /proc/PID/status with the resident memory. */
+    static final String MEMORY_NOW = "VmRSS";
+    /** Field of /proc/PID/status with the peak of the resident memory. */
+    static final String MEMORY_PEAK = "VmHWM";
     private static final long POLL_MS = 50;
 
     private final String build;
--- a/src/main/java/dewstage/scale/ProxyProcess.java
+++ b/src/main/java/dewstage/scale/ProxyProcess.java
@@ -17,7 +17,8 @@
 
 /** One real proxy in a process of its own: starts it, checks its readiness and reads its resource usage. */
 final class ProxyProcess {
-    private static final int HEALTH_TIMEOUT_MS = 1000, KB_PER_MB = 1024;
+    private static final int HEALTH_TIMEOUT_MS = 1000;
+    private static final int KB_PER_MB = 1024;
 
     /** The command that starts a proxy, and its working directory. */
     record Launch(List<String> command, Path workingDirectory) {
--- a/src/main/java/dewstage/scale/RealExperiment.java
+++ b/src/main/java/dewstage/scale/RealExperiment.java
@@ -21,14 +21,22 @@
 @Command(name = "real", description = "a real proxy beside hollow ones: readiness, calls, memory, CPU time")
 final class RealExperiment extends Experiment {
     private static final long BYTES_PER_MB = 1 << 20;
-    private static final double NS_PER_S = 1e9, PERCENT = 100;
+    private static final double NS_PER_S = 1e9;
+    private static final double PERCENT = 100;
     /** A proxy that is not ready within this time counts as never ready; the measurement continues. */
-    private static final double READY_TIMEOUT_S = 25, POLL_S = 0.02;
+    private static final double READY_TIMEOUT_S = 25;
+    /** Interval of the checks whether the proxy is ready. */
+    private static final double POLL_S = 0.02;
     /** Time for the process to apply what was sent, which cannot be observed from outside. */
     private static final double SETTLE_S = 3;
-    private static final int BURST = 3800, SOCKETS = 1024;
-    /** Upper bounds of the control side: MB of live heap and percent of a core. */
-    private static final double MAX_LIVE_MB = 128, MAX_CORE_PERCENT = 5;
+    /** Changed entries of a burst; a replaced backend is two. */
+    private static final int BURST = 3800;
+    /** Socket limit of the proxy. */
+    private static final int SOCKETS = 1024;
+    /** Upper bound of the control side: MB of live heap. */
+    private static final double MAX_LIVE_MB = 128;
+    /** Upper bound of the control side: percent of a core. */
+    private static final double MAX_CORE_PERCENT = 5;
 
     @Option(names = "--beside", defaultValue = "4", paramLabel = "N",
             description = "hollow proxies that watch the same list (${DEFAULT-VALUE})")
--- a/src/main/java/dewstage/scale/RequestExperiment.java
+++ b/src/main/java/dewstage/scale/RequestExperiment.java
@@ -27,20 +27,36 @@
  */
 @Command(name = "request", description = "latency added by real proxies with small and large lists, in turn")
 final class RequestExperiment extends Experiment {
-    private static final List<Integer> SIZES = List.of(200, 68_000), PROXIES = List.of(2);
-    private static final int SMALL_ENTRIES = 200, LARGE_ENTRIES = ModuleShape.TARGET_ENTRIES;
-    /** Upper bounds for the planned fleet: added latency at the 99th percentile, growth with the list. */
-    private static final double MAX_ADDED_MS = 2.3, MAX_GROWTH = 1.2, PERCENTILE = 99;
+    /** Numbers of entries that are measured by default. */
+    private static final List<Integer> SIZES = List.of(200, 68_000);
+    /** Numbers of proxies that are measured by default. */
+    private static final List<Integer> PROXIES = List.of(2);
+    /** List size that the growth is measured from. */
+    private static final int SMALL_ENTRIES = 200;
+    /** List size that the growth is measured to. */
+    private static final int LARGE_ENTRIES = ModuleShape.TARGET_ENTRIES;
+    /** Upper bound for the planned fleet: added latency at the 99th percentile. */
+    private static final double MAX_ADDED_MS = 2.3;
+    /** Upper bound for the planned fleet: growth of the added latency with the list. */
+    private static final double MAX_GROWTH = 1.2;
+    /** Percentile of the latencies that are compared. */
+    private static final double PERCENTILE = 99;
     private static final double PERCENT = 100;
     /** Length of a turn; the groups alternate so that other load on the machine affects all of them. */
     private static final int SLICE_S = 2;
-    /** Ratios by which two groups of the same build can differ on a busy machine. */
-    private static final double MAX_LATENCY_NOISE = 1.5, MAX_CPU_NOISE = 1.1, MAX_MEMORY_NOISE = 1.02;
+    /** Ratio by which the latencies of two groups of the same build can differ on a busy machine. */
+    private static final double MAX_LATENCY_NOISE = 1.5;
+    /** Ratio by which the CPU times of two groups of the same build can differ on a busy machine. */
+    private static final double MAX_CPU_NOISE = 1.1;
+    /** Ratio by which the memory of two groups of the same build can differ on a busy machine. */
+    private static final double MAX_MEMORY_NOISE = 1.02;
     /** Ports of the backends, and their service time. */
     private static final int PORTS = 8;
     private static final long SERVICE_NS = 2_000_000;
-    /** Heap of this program per entry of its lists, and apart from the lists. */
-    private static final long ENTRY_BYTES = 1500, BASE_BYTES = 64L << 20;
+    /** Heap of this program per entry of its lists. */
+    private static final long ENTRY_BYTES = 1500;
+    /** Heap of this program apart from the lists. */
+    private static final long BASE_BYTES = 64L << 20;
     private static final long BYTES_PER_MB = 1 << 20;
 
     @Mixin
--- a/src/main/java/dewstage/scale/StartExperiment.java
+++ b/src/main/java/dewstage/scale/StartExperiment.java
@@ -6,7 +6,10 @@
 /** Measures a simultaneous start of all proxies with their first list, then the full list sent again. */
 @Command(name = "start", description = "the full list: from the start until ready, and sent again")
 final class StartExperiment extends FleetExperiment {
-    private static final String FIRST = "first list", AGAIN = "list again";
+    /** Name of the step that starts all proxies. */
+    private static final String FIRST = "first list";
+    /** Name of the step that sends the full list again. */
+    private static final String AGAIN = "list again";
     private static final double BYTES_PER_MB = 1 << 20;
 
     private Table memory;
--- a/src/main/java/dewstage/scale/Table.java
+++ b/src/main/java/dewstage/scale/Table.java
@@ -6,7 +6,10 @@
 
 /** Rows with named columns. A value is a string, an integer, a decimal number or a boolean. */
 final class Table {
-    private static final double NO_DECIMALS_FROM = 100, TWO_DECIMALS_FROM = 1;
+    /** Magnitude from which numbers are shown without decimals. */
+    private static final double NO_DECIMALS_FROM = 100;
+    /** Magnitude from which numbers are shown with two decimals. */
+    private static final double TWO_DECIMALS_FROM = 1;
 
     final String title;
     final List<String> columns;
--- a/src/main/java/dewstage/scale/TestBed.java
+++ b/src/main/java/dewstage/scale/TestBed.java
@@ -86,7 +86,8 @@
     final class SteadyChanges {
         private final String step;
         private final DiscoveryStandIn.Counts before = discovery.counts();
-        private final long cpuBeforeNs = hollowProxies.cpuNs(), startNs = System.nanoTime();
+        private final long cpuBeforeNs = hollowProxies.cpuNs();
+        private final long startNs = System.nanoTime();
         private final List<Propagation> propagations = new ArrayList<>();
         private long changed;
 
--- a/src/main/java/dewstage/scale/VirtualHost.java
+++ b/src/main/java/dewstage/scale/VirtualHost.java
@@ -27,14 +27,20 @@
 final class VirtualHost implements Balancer.Actions {
     /** A proxy's share of the target's 1.3 million requests a second. */
     static final int REQUESTS_PER_SECOND = 245;
-    private static final long SECOND_NS = 1_000_000_000,
-            REQUEST_INTERVAL_NS = SECOND_NS / REQUESTS_PER_SECOND;
-    /** Mean response time of a served attempt, and mean network round trip of a failed one. */
-    private static final long SERVED_NS = 20_000_000, FAILED_NS = 2_000_000;
+    private static final long SECOND_NS = 1_000_000_000;
+    private static final long REQUEST_INTERVAL_NS = SECOND_NS / REQUESTS_PER_SECOND;
+    /** Mean response time of a served attempt. */
+    private static final long SERVED_NS = 20_000_000;
+    /** Mean network round trip of a failed attempt. */
+    private static final long FAILED_NS = 2_000_000;
     /** Start of the virtual clock; any time but 0, which means long ago. */
     private static final long START_NS = 1_000_000_000_000L;
     /** Of ten requests one is keyed and one is unsafe to repeat; the others are safe. */
-    private static final int MIX_PERIOD = 10, KEYED_PROFILE = 1, UNSAFE_PROFILE = 2;
+    private static final int MIX_PERIOD = 10;
+    /** Profile of a keyed request, and the remainder of its ticket. */
+    private static final int KEYED_PROFILE = 1;
+    /** Profile of a request that is unsafe to repeat, and the remainder of its ticket. */
+    private static final int UNSAFE_PROFILE = 2;
 
     /** The kinds of calls whose cost is measured. */
     enum Call { REQUEST, OUTCOME, TIMER, MEMBERS }
--- a/src/test/java/dewstage/proxy/LoopLagTest.java
+++ b/src/test/java/dewstage/proxy/LoopLagTest.java
@@ -7,7 +7,9 @@
 
 /** The assumed arrival time of a request, and the stall to allow for. */
 class LoopLagTest {
-    private static final long START = 1_000_000_000_000L, STALL_NS = 600_000_000L;
+    /** Start of the virtual clock in nanoseconds. */
+    private static final long START = 1_000_000_000_000L;
+    private static final long STALL_NS = 600_000_000L;
     private final LoopLag lag = new LoopLag();
 
     @Test
--- a/src/test/java/dewstage/scale/DiscoveryStandInTest.java
+++ b/src/test/java/dewstage/scale/DiscoveryStandInTest.java
@@ -21,7 +21,8 @@
 /** The stand-in follows the protocol of discovery and holds one copy of the list. */
 @Timeout(60)
 class DiscoveryStandInTest {
-    private static final String PATH = "/catalog/members", WATCH = PATH + "?stream=1";
+    private static final String PATH = "/catalog/members";
+    private static final String WATCH = PATH + "?stream=1";
 
     private final Fleet fleet = new Fleet(1000, 7);
     private DiscoveryStandIn discovery;
--- a/src/test/java/dewstage/scale/ModuleRunTest.java
+++ b/src/test/java/dewstage/scale/ModuleRunTest.java
@@ -15,8 +15,12 @@
 
 /** The costs of the module as the scale tests measure them: counts, and ratios between sizes. */
 class ModuleRunTest {
-    /** The sizes to compare, and the number of alternating measurements of each. */
-    private static final int SMALL = 1000, LARGE = 16_000, REPEATS = 3;
+    /** The smaller of the sizes to compare. */
+    private static final int SMALL = 1000;
+    /** The larger of the sizes to compare. */
+    private static final int LARGE = 16_000;
+    /** Number of alternating measurements of each size. */
+    private static final int REPEATS = 3;
     /** Limit for a scan of all entries: linear growth, with a margin for caches and a busy machine. */
     private static final double MAX_LINEAR_RATIO = 3.0 * LARGE / SMALL;
     /** Limit for a scan of the subset: typically a ratio of 1.2 to 1.6; scans of all entries exceed 20. */
